--- a/packages/engine/include/hibiscuspick/engine/directory.h
+++ b/packages/engine/include/hibiscuspick/engine/directory.h
@@ -35,10 +35,13 @@
 void ReplaceAll(Directory* directory, const std::vector<ServerEntry>& listed,
                 Millis now);
 
+// Adds or replaces an entry.
 void PutEntry(Directory* directory, const ServerEntry& entry);
 // Removes the entry at once. For an entry that was overwritten with an invalid
 // one: it is wrong, and not just expired.
 void DropEntry(Directory* directory, const BackendServerId& id);
+// Removes an entry that went missing: at once, or after kReregistrationTime if
+// the store has failed recently.
 void RemoveEntry(Directory* directory, const BackendServerId& id, Millis now);
 
 // When the next expiring entry will be removed.
--- a/packages/engine/include/hibiscuspick/engine/fan_out.h
+++ b/packages/engine/include/hibiscuspick/engine/fan_out.h
@@ -55,21 +55,20 @@
   ShardOutlook decisive;
 };
 
-// The time left of a new query, and whether it is the repeat of a query that
-// was refused before.
+// The time left of a new query, and whether it repeats one that was refused.
 struct QueryTimes {
   Millis to_target;
   Millis to_end;
   bool returning = false;
 };
 
-// Decides whether to admit a query, by the shards that it needs for the minimum
-// coverage. A query is refused if these are expected after the caller's
-// deadline, also when it is queued behind all others, since all its work would
-// be wasted. It is also refused if these miss the target because of queues:
-// each admitted query would make the following ones late too, and a caller that
-// is told at once when to retry is served sooner than by waiting. A caller that
-// retries is admitted in this case.
+// Decides whether to admit a query, by the estimates of the shards that it
+// needs for the minimum coverage. It is refused if they are expected to answer
+// after the caller's deadline, also when its parts are queued behind all
+// others: all its work would be wasted. It is also refused if they are expected
+// after the target because of queues: each admitted query would make the
+// following ones late too, and a caller that is told at once when to retry is
+// served sooner than by waiting. A caller that does retry is admitted then.
 Admission Admit(const std::vector<std::optional<ShardOutlook>>& outlooks,
                 size_t needed, const QueryTimes& times);
 
--- a/packages/engine/include/hibiscuspick/engine/peers.h
+++ b/packages/engine/include/hibiscuspick/engine/peers.h
@@ -60,12 +60,13 @@
 // Records that a peer didn't answer: it is skipped for a time that doubles with
 // each failure, up to a bound.
 void NoteSilent(PeerTable* table, const InstanceId& peer, Millis now);
+// Records that a peer answered, which ends its backoff.
 void NoteAnswered(PeerTable* table, const InstanceId& peer);
 
 // The data centres that have instances, ordered by name.
 std::vector<DataCentreId> DataCentres(const PeerTable& table);
 
-// The responsive instances of a data centre, those with the most processor
+// The responsive instances of a data centre, those with the largest CPU share
 // first. Equal ones are ordered by hash, so that the same few aren't first in
 // everything.
 std::vector<Peer> Ranking(const PeerTable& table, const DataCentreId& where,
@@ -87,8 +88,8 @@
 // queue: each instance keeps at least one attempt open at a server, and with
 // five instances at two slots a part of 9 ms waits behind three of 28 ms.
 //
-// With more instances: those with the most processor, if they have
-// kCapableFactor times that of the weakest, ordered by rank within their data
+// With more instances: those with the largest CPU share, if it is at least
+// kCapableFactor times the smallest one, ordered by rank within their data
 // centre. A fan-out to 90 shards takes 4 ms of processor time, which is 33 ms
 // on an eighth of a core and 8 ms on half of one. It also leaves few instances
 // to share the servers' connections.
@@ -102,10 +103,10 @@
 inline constexpr double kBusySender = 0.5;
 
 // The sender that this instance hands a query to; nullptr if it sends the query
-// itself. Prefers senders in data centres that have servers of the shards: only
-// the merged answer then crosses between data centres. Among equally near
-// senders the first of its data centre gets all queries until its utilisation,
-// the share of its time that it reported as busy, exceeds
+// itself. Senders in data centres that have servers of the shards are
+// preferred: only the merged answer then crosses between data centres. Among
+// equally near senders the first of its data centre gets all queries until its
+// utilisation, the share of its time that it reported as busy, reaches
 // kMaxSenderUtilisation: a sender that sends all queries contacts each server
 // often enough to detect a paused or slow one before the next query. `rotation`
 // spreads queries over data centres that are equally near.
--- a/packages/engine/include/hibiscuspick/engine/reachability.h
+++ b/packages/engine/include/hibiscuspick/engine/reachability.h
@@ -45,6 +45,7 @@
 // probe.
 bool WantsProbe(const Reachability& reach, Millis since, Millis now);
 
+// Records the start of a probe.
 void BeginProbe(Reachability* reach, Millis now);
 
 enum class ProbeEnd {
@@ -55,6 +56,7 @@
   // The probe has to be repeated.
   kUnsure,
 };
+// Evaluates the probe in progress.
 ProbeEnd EndProbe(Reachability* reach, Millis now);
 
 // The delay before the next probe. There is none in the first seconds of a
--- a/packages/engine/include/hibiscuspick/engine/server_belief.h
+++ b/packages/engine/include/hibiscuspick/engine/server_belief.h
@@ -65,6 +65,7 @@
   // The number of attempts that this instance keeps open at the server; see
   // AdaptLimit.
   double limit = 2;
+  // The limit is not lowered again before this.
   Millis limit_lowered;
   // Latency as a multiple of the route's median, as a weighted moving average.
   double slowness = 1;
@@ -157,6 +158,7 @@
                                    const ChoicePolicy& policy, Millis usual,
                                    Millis now);
 
+// Records an attempt that was sent to the server.
 void NoteSent(ServerBelief* server, OpenAttempt attempt);
 
 // Records an attempt that was cancelled and says nothing about the server's
--- a/packages/engine/src/peers.cc
+++ b/packages/engine/src/peers.cc
@@ -13,7 +13,7 @@
 constexpr Millis kFirstSilence{2000};
 constexpr Millis kLongestSilence{10000};
 
-// A capable instance has this multiple of the weakest instance's processor.
+// A capable instance has at least this multiple of the smallest CPU share.
 constexpr double kAbler = 2;
 
 // If a pause delays one of seven parts in three of ten answers, the average is
@@ -28,9 +28,9 @@
   return silent == table.silent.end() || now >= silent->second.until;
 }
 
-// Orders by processor, the most first, then by hash; `peers` are in the order
-// of their ids, which remains between equal hashes. The hashes are computed
-// once for each, since an instance ranks hundreds several times per second.
+// Orders by CPU share, the largest first, then by hash. `peers` are ordered by
+// id, and those of equal hash stay so. The hashes are computed once for each,
+// since an instance ranks hundreds several times per second.
 std::vector<Peer> Ranked(const std::vector<const Peer*>& peers) {
   std::vector<std::tuple<double, uint64_t, const Peer*>> keyed;
   keyed.reserve(peers.size());
