--- a/packages/edge/include/hibiscuspick/edge/backends.h
+++ b/packages/edge/include/hibiscuspick/edge/backends.h
@@ -1,4 +1,5 @@
-// The backend servers' connections and the attempts on them. One thread's.
+// Connection pools to the backend servers, the attempts in flight on them and
+// the queues of parts that wait for a free slot. Used by one thread only.
 #pragma once
 
 #include <cstdint>
@@ -25,125 +26,137 @@
 namespace hibiscuspick::edge {
 
 enum class AttemptEnd {
-  // A whole reply to this request.
+  // A complete reply to this request arrived.
   kReply,
-  // No byte was sent: no connection could be had.
+  // No connection could be made, so nothing was sent.
   kNotSent,
-  // Sent, and broke off or was answered with what is no reply.
+  // The request was sent, but the connection broke or the reply was malformed.
   kBroken,
 };
 
 struct AttemptResult {
   AttemptId id;
   BackendServerId server;
-  // Of the very server that had the attempt. Under the same id another may be
-  // listed meanwhile, of which this result tells nothing.
+  // Estimates of the server instance that ran the attempt. Another server may
+  // meanwhile be listed under the same id; this result must not be charged to
+  // it.
   std::shared_ptr<engine::ServerBelief> belief;
   AttemptEnd end = AttemptEnd::kNotSent;
   HttpReply reply;
-  // From the moment it was sent.
+  // Measured from the moment the request was sent.
   Millis latency;
 };
 
 struct AttemptOrder {
   ServiceId service;
-  // Whose budget would pay for a second attempt.
+  // The service whose budget of extra attempts pays for a second attempt.
   ServiceId budget_of;
-  // What an attempt of this route usually takes, and after what time a server's
-  // silence is a reason for suspicion.
+  // Typical latency of an attempt on this route, and the age at which an
+  // unanswered attempt makes its server suspect.
   Millis usual;
   Millis overdue_after;
-  // Servers that must not get it.
+  // Servers that must not get this attempt.
   std::vector<BackendServerId> excluded;
-  // Of the route, which outlives it; all data centres if not set.
+  // Data centres the route is restricted to; null for all. Owned by the route,
+  // which outlives the attempt.
   const engine::Homes* homes = nullptr;
-  // Only a server that isn't suspected of standing still.
+  // Skips servers that are suspected of a pause.
   bool only_unsuspected = false;
-  // The request as it is sent to that server.
+  // Returns the serialised request for the given server.
   std::function<std::string(const BackendServerId&)> text_for;
   bool to_head = false;
-  // May not be sent where it is unsure that it arrives.
+  // The request must not run twice, so it is sent only on connections that are
+  // unlikely to have been closed by the server.
   bool once = false;
   HttpChannel::IsOurs is_ours;
   std::function<void(AttemptResult)> on_end;
 };
 
-// This instance's part of what the servers of a service take.
+// This instance's share of the load that the servers of a service accept.
 struct ServiceShare {
-  // Connections to each of them.
+  // Maximum connections to each server.
   int connections = 2;
-  // Of the slack in the service's budget of extra attempts.
+  // Share of the slack in the service's budget of extra attempts.
   double slack = 0;
-  // Requests to a cold one within engine::kColdWindow; nothing for no bound.
+  // Maximum requests to a cold server within engine::kColdWindow; unset for no
+  // limit.
   std::optional<int> when_cold;
-  // How long one is taken to be cold that may be and doesn't say.
+  // How long a server that may be cold, but does not report it, is treated as
+  // cold.
   Millis warmup;
 };
 
 struct BackendsPolicy {
   engine::ChoicePolicy choice;
-  // The header in which servers tell their load; none if empty.
+  // Response header that carries a server's load report; empty if there is
+  // none.
   std::string load_header;
   settings::Mechanisms mechanisms;
-  // Of the budget of extra attempts; its slack is each service's own.
+  // Parameters of the budget of extra attempts; the slack is set for each
+  // service.
   engine::ExtraLimits extra;
   Millis connect_timeout{300};
-  // How often a server that can't be reached is tried again.
+  // Interval between connection attempts to an unreachable server.
   Millis probe_interval{300};
   size_t reply_bytes = 8 << 20;
 };
 
-// An attempt on its way.
+// An attempt that is in flight.
 struct StartedAttempt {
   AttemptId id;
   BackendServerId server;
 };
 
-// Those that may still be on time come before those that are late already; then
-// by due instant, then by rank.
+// Sort key of a waiting part: overdue or deprioritized parts come last, then
+// earlier due times first, then higher priority (lower number), then arrival
+// order.
 using WaitKey = std::tuple<bool, double, int, uint64_t>;
 
 struct Waiting {
   int priority = 0;
   Millis due;
-  // Isn't expected by then, and waits behind those that are.
+  // Not expected to finish by `due`, so it waits after the parts that are.
   bool behind = false;
-  // Told when its place changes.
+  // Called with the new key when the part is moved within the queue.
   std::function<void(const WaitKey&)> key_changed;
-  // Tries to start; true if it did or no longer wants to.
+  // Tries to start the part. Returns true if it was started or is no longer
+  // needed, which removes it from the queue.
   std::function<bool()> start;
 };
 
 class Backends {
  public:
-  // `prober` outlives it, and is told of every server that is heard.
+  // `prober` must outlive this object; it is notified of every contact with a
+  // server.
   Backends(Loop* loop, BackendsPolicy policy, Prober* prober);
   ~Backends();
 
   void SetServers(const std::vector<engine::ServerEntry>& entries);
-  // Servers in these data centres get no attempts and no probes. Attempts that
-  // they have already may end there.
+  // Excludes the servers in these data centres from attempts and probes.
+  // Attempts already in flight there may finish.
   void SetEvacuated(std::set<DataCentreId> places);
   const std::set<DataCentreId>& evacuated() const { return evacuated_; }
-  // Whether all servers of the service that stay are in evacuated data centres.
+  // Whether all servers of the service that are neither removed nor draining
+  // are in evacuated data centres.
   bool IsEvacuated(const ServiceId& service) const;
   void SetShare(const ServiceId& service, const ServiceShare& share);
 
-  // Starts an attempt at the best server; nothing if none takes one now.
+  // Starts an attempt on the best server; nullopt if no server can take one
+  // now.
   std::optional<StartedAttempt> TryStart(AttemptOrder order);
 
-  // Nobody wants the result any more: no call follows. `stop_server`: the
-  // server must not go on with it; otherwise it may end within a short time,
-  // which keeps the connection, unless others wait for the server.
+  // Drops an attempt whose result is no longer needed; `on_end` will not be
+  // called. With `stop_server` the connection is closed so that the server
+  // stops working on it. Otherwise the attempt may finish within a short grace
+  // period, which keeps the connection, unless other parts wait for the server.
   void Abandon(AttemptId id, bool stop_server);
 
-  // Waits for room at the service's servers, in order of priority and due
-  // instant.
+  // Queues a part until a server of the service has a free slot.
   WaitKey Enqueue(const ServiceId& service, Waiting waiting);
   void Withdraw(const ServiceId& service, const WaitKey& key);
 
-  // Whether the service's budget has room for one more extra attempt, with the
-  // share `reserve` of it left for others.
+  // Whether the service's budget allows one more extra attempt while the share
+  // `reserve` of the budget stays available for others.
   bool HasExtra(const ServiceId& service, double reserve);
   void TakeExtra(const ServiceId& service);
   void CountRequest(const ServiceId& service);
@@ -151,40 +164,42 @@
   size_t open_attempts() const { return attempts_.size(); }
   bool HasServerInReach(const ServiceId& service,
                         const engine::Homes& homes) const;
-  // What a part due at that instant would meet at the service; nothing if none
-  // of its servers can be reached.
+  // Estimates queueing and service time of a part due at `due`; nullopt if none
+  // of the service's servers is reachable.
   std::optional<engine::ShardOutlook> Outlook(const ServiceId& service,
                                               Millis usual, Millis due,
                                               const engine::Homes& homes) const;
-  // Rises with each change of what PlacesOf gives.
+  // Incremented whenever the result of DataCentresOf may have changed.
   uint64_t generation() const { return generation_; }
   // The data centres that have servers of nearly all of the services.
   std::vector<DataCentreId> PlacesOf(const std::vector<ServiceId>& services,
                                      const engine::Homes& homes) const;
-  // The data centres that have a server of it which can be reached and isn't
-  // suspected of standing still.
+  // The data centres with at least one server of the service that is reachable
+  // and not suspected of a pause.
   std::vector<DataCentreId> PlacesOfService(const ServiceId& service,
                                             const engine::Homes& homes) const;
-  // Addresses of servers in a data centre that may be in reach, other ones each
-  // time.
+  // Addresses of servers in a data centre that may be reachable, rotated on
+  // each call so that the first is not always the same.
   std::vector<Address> AddressesIn(const DataCentreId& where);
-  // Whether no other data centre can be reached, or every try at servers there
-  // has failed for a while: the instance's data centre is cut off.
+  // Whether this instance's data centre is cut off: no other data centre is
+  // reachable, or all attempts at servers elsewhere have failed for a while.
   bool IsCutOff() const;
-  // The sender of this data centre says that it is cut off. Believed until a
-  // server elsewhere is heard, or for kToldCutOff: an instance that hands its
-  // queries over finds out for itself only after many of its callers have been
-  // refused.
+  // Records a report from this data centre's sender that the data centre is cut
+  // off. The report is trusted for kCutOffReportTtl or until another data
+  // centre is reached. An instance that forwards its queries makes few attempts
+  // of its own, and without the report would refuse many callers before it
+  // noticed the cut.
   void NoteToldCutOff() {
     if (policy_.mechanisms.told_cut_off) told_cut_off_ = loop_->now();
   }
   bool IsToldCutOff() const;
 
-  // A server said that its address is now another's.
+  // Handles a reply 421 Misdirected Request: another server now has this
+  // address.
   void NoteForeign(const AttemptResult& result);
   void NoteFailure(const AttemptResult& result);
   void NoteReply(const AttemptResult& result, Millis usual);
-  // The server said how much longer it is cold.
+  // Records the remaining warm-up time that the server reported.
   void NoteWarmup(const AttemptResult& result, Millis left);
 
  private:
@@ -204,9 +219,10 @@
                    const std::shared_ptr<HttpChannel>& channel);
   bool IsEvacuated(const Server& server) const;
   bool IsInReach(const Server& server) const;
-  // Within reach, and where the route's requests may go.
+  // Whether the server is reachable and in a data centre that the route allows.
   bool MayServe(const Server& server, const engine::Homes& homes) const;
-  // It is back, and may be cold without having said so yet.
+  // Treats a server that became reachable again as cold until it reports
+  // otherwise.
   void TakeForCold(Server* server);
   void RecordContact(Server* server);
   void NoteUnheard(const Server& server);
@@ -227,18 +243,18 @@
   Loop* const loop_;
   const BackendsPolicy policy_;
   Prober* const prober_;
-  // When the sender of this data centre last said that it is cut off.
+  // When the sender of this data centre last reported that it is cut off.
   std::optional<Millis> told_cut_off_;
   std::set<DataCentreId> evacuated_;
   uint64_t generation_ = 0;
   std::unordered_map<BackendServerId, std::shared_ptr<Server>> servers_;
   std::unordered_map<ServiceId, std::unique_ptr<ServiceState>> services_;
   std::unordered_map<AttemptId, std::unique_ptr<Attempt>> attempts_;
-  // By the service that pays for second attempts at all of a kind.
+  // Keyed by the service whose budget pays for the extra attempts of a fan-out.
   std::unordered_map<ServiceId, std::shared_ptr<engine::PauseCycle>>
       pause_cycles_;
-  // When a server of another data centre was last heard, and how many tries at
-  // such servers have failed since.
+  // Time of the last contact with a server in another data centre, and the
+  // number of failed attempts at such servers since.
   Millis remote_heard_;
   int remote_failures_ = 0;
   Loop::TimerId sweep_ = 0;
--- a/packages/edge/include/hibiscuspick/edge/byte_stream.h
+++ b/packages/edge/include/hibiscuspick/edge/byte_stream.h
@@ -1,4 +1,5 @@
-// A TCP connection on a loop: bytes in by callback, bytes out in order.
+// A TCP connection on an event loop: received bytes are passed to a callback,
+// written bytes are sent in order.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,20 +15,20 @@
 namespace hibiscuspick::edge {
 
 enum class StreamEnd {
-  // The other side ended its stream in order.
+  // The peer closed its side of the connection.
   kOrderly,
-  // Reset, timed out by the kernel or otherwise broken.
+  // The connection was reset, timed out in the kernel or failed otherwise.
   kBroken,
 };
 
-// Waits for readiness and then reads into a buffer that all streams of a
-// thread share, so that an idle connection holds no buffer. Handlers may close
-// the stream; after Close none is called any more. Made by std::make_shared,
-// since waits in flight keep it alive.
+// Waits until the socket is readable and then reads into a buffer shared by all
+// streams of the thread, so that an idle connection holds no buffer. Handlers
+// may close the stream; none is called after Close. Create with
+// std::make_shared, since pending waits keep the stream alive.
 class ByteStream : public std::enable_shared_from_this<ByteStream> {
  public:
   struct Handlers {
-    // Bytes came; valid only during the call.
+    // Called with received bytes, which are valid only during the call.
     std::function<void(std::string_view)> on_bytes;
     std::function<void(StreamEnd)> on_end;
   };
@@ -35,26 +36,27 @@
   explicit ByteStream(Loop* loop);
   ByteStream(Loop* loop, boost::asio::ip::tcp::socket socket);
 
-  // Connects; `done` is told once whether it succeeded within `timeout`.
+  // Connects. `done` is called once, with true if the connection was
+  // established within `timeout`.
   void Connect(const Address& address, Millis timeout,
                std::function<void(bool)> done);
 
-  // Begins to read. The handlers are kept until Close.
+  // Starts reading. The handlers are kept until Close.
   void Start(Handlers handlers);
 
   void Write(const std::string& text);
-  // Whether the kernel has taken all that was written.
+  // Whether all written bytes have been passed to the kernel.
   bool IsFlushed() const { return unsent_.empty(); }
 
-  // Ends at once; what the kernel has taken is still delivered, unless bytes
-  // from the other side are left unread, in which case the kernel resets.
+  // Closes at once. Bytes that the kernel holds are still delivered, unless
+  // received bytes are unread, in which case the kernel resets the connection.
   void Close();
-  // Ends after all is written, and lets the other side read it first.
+  // Sends all pending bytes, then shuts down and lets the peer read them before
+  // the socket is closed.
   void CloseWhenFlushed();
   bool IsOpen() const { return socket_.is_open(); }
 
-  // The way to the other side and back, as the kernel has measured it; nothing
-  // where it doesn't say.
+  // Round-trip time measured by the kernel (TCP_INFO); nullopt if unknown.
   std::optional<Millis> RoundTrip();
 
  private:
--- a/packages/edge/include/hibiscuspick/edge/early_requests.h
+++ b/packages/edge/include/hibiscuspick/edge/early_requests.h
@@ -1,4 +1,5 @@
-// Requests that come before a new instance knows what to serve.
+// Holds requests that arrive before a new instance has its configuration and
+// list of servers.
 #pragma once
 
 #include <functional>
@@ -11,27 +12,28 @@
 
 namespace hibiscuspick::edge {
 
-// After all instances were killed together their callers' requests stand in the
-// queue for new connections, and arrive within milliseconds of the start. A
-// start takes 30 to 55 ms until configuration and servers are known; a caller
-// refused meanwhile has spent its retry. So requests wait for that, for a
-// moment and no longer: an instance that doesn't find the store refuses at once
-// from then on.
+// When all instances restart together, their callers' requests wait in the
+// listen queue and arrive within milliseconds of the start, but configuration
+// and servers are known only after 30 to 55 ms. A caller refused in that time
+// has used up its retry, so requests are held for a short time. If the store is
+// not reached by then, requests are refused immediately.
 class EarlyRequests {
  public:
-  // Where a request goes when its wait is over; its deadline header holds what
-  // is left.
+  // Called with each held request on release; its deadline header is reduced by
+  // the time it was held.
   using Serve =
       std::function<void(const std::shared_ptr<HttpSession>&, HttpRequest)>;
 
-  // `deadline_header`: in milliseconds, the time for which the caller waits.
+  // `deadline_header` names the header with the caller's deadline in
+  // milliseconds.
   EarlyRequests(Loop* loop, std::string deadline_header, Serve serve);
 
-  // The instance takes requests from now on.
+  // Starts holding; called when the instance starts listening.
   void Begin();
-  // True if the request is kept; false if it comes too late for that.
+  // Holds the request, moving from it, and returns true; returns false if
+  // holding has ended or too many are held.
   bool Hold(const std::shared_ptr<HttpSession>& session, HttpRequest* request);
-  // Serves all that are kept, and keeps no more.
+  // Serves all held requests and stops holding.
   void Release();
 
  private:
--- a/packages/edge/include/hibiscuspick/edge/http_channel.h
+++ b/packages/edge/include/hibiscuspick/edge/http_channel.h
@@ -1,4 +1,4 @@
-// One connection to a server, one request at a time.
+// One HTTP/1.1 client connection with at most one request in flight.
 #pragma once
 
 #include <functional>
@@ -14,20 +14,20 @@
 namespace hibiscuspick::edge {
 
 enum class ExchangeEnd {
-  // A whole reply.
+  // A complete reply arrived.
   kReply,
-  // Broke off, or came as bytes that are no reply.
+  // The connection broke or the reply was malformed.
   kBroken,
 };
 
-// Keeps reading while idle: whatever a server says unasked (a second answer, a
-// late one, the end of the connection) ends the connection unread, so that no
-// request can be given bytes that belong to another.
+// Keeps reading while idle. Unsolicited bytes from the server (a duplicate or
+// late reply) or its end of stream close the connection, so that a request is
+// never given a reply meant for another.
 class HttpChannel : public std::enable_shared_from_this<HttpChannel> {
  public:
   using OnReply = std::function<void(ExchangeEnd, HttpReply)>;
-  // Whether a reply belongs to the request in flight. One that doesn't is
-  // passed over, and the channel ends after the one that does.
+  // Whether a reply belongs to the request in flight. Other replies are
+  // skipped, and the channel is closed after the matching one.
   using IsOurs = std::function<bool(const HttpReply&)>;
 
   explicit HttpChannel(Loop* loop);
@@ -42,14 +42,14 @@
     IsOurs is_ours;
     OnReply on_reply;
   };
-  // Sends a request; only while IsIdle. `on_reply` is called once, unless the
-  // channel is closed before.
+  // Sends a request; requires IsIdle(). `on_reply` is called once, unless the
+  // channel is closed first.
   void Send(Exchange exchange);
 
   bool IsIdle() const { return open_ && !busy_; }
-  // When the last reply came, or the connection was made.
+  // Time of the last reply, or of the connect if there was none.
   Millis idle_since() const { return idle_since_; }
-  // Ends it; a request in flight gets no call.
+  // Closes the connection. A request in flight gets no callback.
   void Close();
 
  private:
--- a/packages/edge/include/hibiscuspick/edge/http_message.h
+++ b/packages/edge/include/hibiscuspick/edge/http_message.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages: read by Boost.Beast's parsers from bytes as they come,
-// written as text.
+// HTTP/1.1 messages: incremental parsers on top of Boost.Beast, and
+// serialisation to text.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,11 @@
   std::string target;
   std::vector<Header> headers;
   std::string body;
-  // How much of the caller's time the way to this instance and back takes, as
-  // far as it is known.
+  // Network time between the caller and this instance that counts against the
+  // caller's deadline (request and reply); unset if unknown.
   std::optional<Millis> on_the_way;
-  // Whether the connection may be used again, by version and header.
+  // Whether the connection can be reused, by HTTP version and Connection
+  // header.
   bool keep_alive = true;
 };
 
@@ -36,35 +37,36 @@
   std::vector<Header> headers;
   std::string body;
   bool keep_alive = true;
-  // Ended with the connection, for want of a length.
+  // The body ended with the connection because the reply had no length.
   bool until_close = false;
 };
 
-// ASCII letters of either case are equal.
+// Compares header names, ignoring ASCII case.
 bool SameName(std::string_view a, std::string_view b);
 
-// The first header of that name; empty if there is none.
+// Value of the first header of that name; empty if there is none.
 std::string_view FindHeader(const std::vector<Header>& headers,
                             std::string_view name);
 
-// The items of a header's value that is a list, without the blanks round them.
+// Splits a comma-separated header value and trims spaces around the items.
 std::vector<std::string_view> SplitList(std::string_view list);
 
-// The whole number that the text is; nothing if it is anything else.
+// Parses a decimal integer; nullopt unless the whole text is one.
 std::optional<int64_t> WholeNumber(std::string_view text);
 
-// Headers that concern one connection only, and the message's framing: those
-// of the standard, and those that `Connection` names.
+// Whether the header applies to a single connection or to message framing.
+// EndToEndHeaders also drops the headers named by `Connection`.
 bool IsHopByHop(std::string_view name);
 std::vector<Header> EndToEnd(const std::vector<Header>& headers);
 
-// How far a reader is. Each fault says what to answer: 400 for a message that
-// breaks the protocol, 431 and 413 for the two bounds.
+// State of a reader. The errors correspond to a status: 400 for a malformed
+// message, 431 for too large headers, 413 for too large a body.
 enum class ReadState { kMore, kDone, kMalformed, kHeaderTooBig, kBodyTooBig };
 
-// Reads one request. Refuses what could be read in two ways (two lengths, a
-// length beside chunks, bare line ends), since a backend server that reads it
-// the other way would run a request that nobody sent.
+// Parses one request. Rejects ambiguous messages (two lengths, a length
+// together with chunked encoding, bare LF line ends): a backend server that
+// parsed them differently would run a request that no caller sent (request
+// smuggling).
 class RequestReader {
  public:
   RequestReader(size_t header_bytes, size_t body_bytes);
@@ -72,13 +74,13 @@
   RequestReader(const RequestReader&) = delete;
   RequestReader& operator=(const RequestReader&) = delete;
 
-  // Takes bytes from the front of `buf`, which keeps what follows the request.
+  // Consumes bytes from the front of `buf`; bytes after the request stay in it.
   ReadState Read(std::string* buf);
-  // Whether any byte was taken.
+  // Whether any byte has been consumed.
   bool started() const;
-  // Whether the head is whole and asks to be told to go on with the body.
+  // Whether the headers are complete and contain `Expect: 100-continue`.
   bool WantsContinue() const;
-  // The request; once, after kDone.
+  // Returns the request; call once, after kDone.
   HttpRequest Take();
 
  private:
@@ -86,17 +88,17 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Reads one reply.
+// Parses one reply.
 class ReplyReader {
  public:
-  // `to_head`: the reply to a HEAD request, which has no body.
+  // `is_head`: the reply is to a HEAD request and has no body.
   ReplyReader(bool to_head, size_t body_bytes);
   ~ReplyReader();
   ReplyReader(const ReplyReader&) = delete;
   ReplyReader& operator=(const ReplyReader&) = delete;
 
   ReadState Read(std::string* buf);
-  // The connection ended in order: kDone if that ends the reply, else
+  // Handles the end of the stream: kDone if that completes the reply, otherwise
   // kMalformed.
   ReadState ReadEnd();
   HttpReply Take();
@@ -106,14 +108,15 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// A whole request with a length, if it has a body or its method usually has.
+// Serialises a request. Adds Content-Length if there is a body or the method
+// usually has one.
 std::string ToText(const HttpRequest& request);
 
-// A whole reply with a length; `closes` adds that the connection ends after
-// it. `to_head` leaves the body out.
+// Serialises a reply with Content-Length. `closes` adds `Connection: close`;
+// `is_head` omits the body.
 std::string ToText(const HttpReply& reply, bool closes, bool to_head);
 
-// The standard phrase of the status.
+// The standard reason phrase of the status.
 std::string_view StatusPhrase(int status);
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/http_session.h
+++ b/packages/edge/include/hibiscuspick/edge/http_session.h
@@ -1,4 +1,5 @@
-// Callers' connections: requests in, answers out, one at a time.
+// Server side of HTTP/1.1: a listener and its sessions, each serving one
+// request at a time.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,14 +20,15 @@
 
 class HttpSession;
 
-// What the listener's owner decides.
+// Settings and callbacks of the listener's owner.
 struct SessionPolicy {
-  // The bounds in force, read for each request.
+  // Returns the current limits; called for each request.
   std::function<engine::CallerLimits()> limits;
-  // A whole request came. Answered by Reply, now or later.
+  // Called with each complete request. The owner answers with
+  // HttpSession::Reply, during the call or later.
   std::function<void(const std::shared_ptr<HttpSession>&, HttpRequest)>
       on_request;
-  // Whether answers say that the connection ends after them.
+  // Whether replies carry `Connection: close` and end the session.
   std::function<bool()> closing;
 };
 
@@ -36,15 +38,16 @@
               const SessionPolicy* policy, std::function<void()> on_end);
   void Start();
 
-  // Answers the request in hand. Does nothing if the caller has left.
+  // Answers the current request. Does nothing if the caller has disconnected.
   void Reply(const HttpReply& reply);
 
-  // Called once if the caller leaves before its answer. Set for each request.
+  // Callback invoked once if the caller disconnects before the reply. Set anew
+  // for each request.
   void set_on_gone(std::function<void()> it) { on_gone_ = std::move(it); }
 
-  // Ends it at once, without an answer; nobody is told.
+  // Closes the connection immediately; no callback is invoked.
   void Abort();
-  // Ends it if no request is in hand or being read.
+  // Closes the connection if no request is being read or served.
   void CloseIfIdle();
   bool IsBusy() const { return busy_; }
 
@@ -69,7 +72,7 @@
   bool to_head_ = false;
   bool keep_alive_ = true;
   bool continued_ = false;
-  // Measured once for each connection.
+  // Round-trip time, measured once per connection.
   std::optional<Millis> round_trip_;
   bool is_first_ = true;
 };
@@ -77,14 +80,15 @@
 class HttpListener {
  public:
   HttpListener(Loop* loop, SessionPolicy policy);
-  // Sessions and their streams hold each other until one is closed.
+  // Aborts all sessions: a session and its stream hold references to each other
+  // until one is closed.
   ~HttpListener();
   HttpListener(const HttpListener&) = delete;
   HttpListener& operator=(const HttpListener&) = delete;
 
-  // Errors: kInvalidValue if the address can't be listened on.
+  // Starts listening. Error kInvalidValue if the address cannot be bound.
   Result<Done> Listen(const Address& address);
-  // Nobody can connect any more; what is open stays.
+  // Refuses new connections; existing sessions continue.
   void StopAccepting();
   bool IsAccepting() const { return acceptor_.is_open(); }
   void CloseIdle();
--- a/packages/edge/include/hibiscuspick/edge/loop.h
+++ b/packages/edge/include/hibiscuspick/edge/loop.h
@@ -1,4 +1,5 @@
-// One thread's event loop: sockets by Asio, timers by a heap of its own.
+// Single-threaded event loop: sockets through Asio, timers in a heap of its
+// own.
 #pragma once
 
 #include <atomic>
@@ -16,9 +17,9 @@
 
 namespace hibiscuspick::edge {
 
-// Asio's timers set a kernel timer whenever the earliest one changes, a system
-// call for most attempts. Here the wait for sockets ends when the next timer
-// is due, which costs no call of its own.
+// Asio timers reprogram a kernel timer whenever the earliest one changes, which
+// costs a system call for most attempts. Here the wait for sockets times out at
+// the next timer instead, without an extra call.
 class Loop {
  public:
   using Task = std::function<void()>;
@@ -28,10 +29,10 @@
 
   boost::asio::io_context& io() { return io_; }
 
-  // The instant at which the present round of work began, the same for all
-  // decisions of a round. Read at the first use after a wait: an instant from
-  // before the wait would make a request that ends it look old already, and its
-  // answer would go out before its parts are in.
+  // Time at which the current iteration began, the same for all decisions in
+  // it. The clock is read on first use after a wait: a time from before the
+  // wait would make the request that ended the wait look old, and its answer
+  // would be sent before its parts arrive.
   Millis now() const {
     if (!now_read_) now_ = SteadyNow();
     now_read_ = true;
@@ -40,17 +41,17 @@
 
   // Runs `task` once at or after `when`. Only from the loop's thread.
   TimerId At(Millis when, Task task);
-  // Does nothing if the timer ran already or is 0.
+  // Cancels a timer. Does nothing if it has fired or `id` is 0.
   void Cancel(TimerId id);
 
-  // Runs `task` soon; from any thread.
+  // Runs `task` in a later iteration; may be called from any thread.
   void Post(Task task) { boost::asio::post(io_, std::move(task)); }
 
-  // The share of the time since the last call in which the loop was at work,
-  // and not waiting; from the loop's thread.
+  // Fraction of the time since the last call that the loop spent running tasks
+  // rather than waiting. Only from the loop's thread.
   double TakeBusyShare();
 
-  // Serves until Stop.
+  // Runs until Stop, which may be called from any thread.
   void Run();
   void Stop();
 
@@ -61,7 +62,7 @@
     bool operator>(const Due& it) const { return when > it.when; }
   };
 
-  // How long to wait at that instant.
+  // Time from `at` to the next timer, bounded by the longest wait.
   Millis UntilNext(Millis at);
   void RunDue();
 
@@ -71,7 +72,7 @@
   std::atomic<bool> stopped_{false};
   mutable Millis now_;
   mutable bool now_read_ = false;
-  // Since when, and for how long since then, the loop was at work.
+  // Start of the current utilisation measurement and the busy time since.
   Millis counted_from_ = SteadyNow();
   Millis at_work_;
   TimerId last_id_ = 0;
--- a/packages/edge/include/hibiscuspick/edge/peer_sender.h
+++ b/packages/edge/include/hibiscuspick/edge/peer_sender.h
@@ -1,4 +1,5 @@
-// Hands queries to the peers that send fan-outs, and takes their answers.
+// Forwards queries, or parts of them, to other instances (peers) and receives
+// their answers.
 #pragma once
 
 #include <functional>
@@ -18,14 +19,15 @@
 
 namespace hibiscuspick::edge {
 
-// What a handed query carries beside the caller's own headers.
+// Parameters of a forwarded query that are sent along with the caller's
+// headers.
 struct HandedQuery {
   uint64_t config_version = 0;
   HandedClocks clocks;
-  // The places of the shards in the route that are asked for; all if empty.
+  // Indexes, within the route, of the shards to query; empty for all.
   std::vector<size_t> shards;
-  // Set if these are what lacked in an earlier answer: what that called the
-  // rest, and how many of them are wanted.
+  // Set if this query asks for the parts that were still open in an earlier
+  // answer: the token of that answer, and how many of the parts are needed.
   struct Rest {
     std::string token;
     size_t wanted = 0;
@@ -33,43 +35,44 @@
   Rest rest;
 };
 
-// Puts it into the headers, and takes it out of them again; nothing if it isn't
-// there or can't be read.
+// Encodes the parameters into headers, and extracts them again; nullopt if they
+// are missing or malformed.
 void AddHanded(const HandedQuery& query, std::vector<Header>* headers);
 std::optional<HandedQuery> TakeHanded(std::vector<Header>* headers);
 
-// In the answer to a query for some shards: the places of those that are in, in
-// the order of their receipts.
+// In the answer to a query for some shards: indexes of the shards whose results
+// are included, in the order of their stamps.
 inline constexpr std::string_view kShardsInHeader = "Hp-Shards-In";
-// In every answer to such a query: the places of those that lack and were sent
-// to as many servers as the route allows.
+// In every answer to such a query: indexes of the missing shards that have used
+// all attempts the route allows.
 inline constexpr std::string_view kShardsSpentHeader = "Hp-Shards-Spent";
-// In the first: the places of those that may still come, and the name by which
-// to ask for them within kRestPatience.
+// In the first answer: indexes of the shards that may still reply, and the
+// token with which to ask for them within kRemainderTtl.
 inline constexpr std::string_view kShardsOpenHeader = "Hp-Shards-Open";
 inline constexpr std::string_view kRestHeader = "Hp-Rest";
 inline constexpr Millis kRestPatience{100};
 
-// In every answer to a peer: how long the peer had the query.
+// In every answer to a peer: how long this instance had the query.
 inline constexpr std::string_view kTookHeader = "Hp-Took-Ms";
 
-// In every answer to a peer: the share of its time that the peer is at work.
+// In every answer to a peer: the fraction of time its loop is busy.
 inline constexpr std::string_view kBusyHeader = "Hp-Busy";
 
-// Takes what a hop cost beside the peer's own time from the peer's answer.
+// Records the latency of a hop to a peer, excluding the peer's own processing
+// time, from the peer's answer.
 void NoteHop(const HttpReply& reply, Millis sent_at, engine::LagMeter* lag);
 
-// Numbers separated by commas; nothing if the text is anything else.
+// Formats and parses comma-separated indexes; nullopt if malformed.
 std::string JoinPlaces(const std::vector<size_t>& places);
 std::optional<std::vector<size_t>> SplitPlaces(std::string_view text);
 
-// A peer that has another version of the configuration answers this: the parts
-// of an answer and the answers of one instance follow one version.
+// Status of a peer with another version of the configuration: all parts of an
+// answer, and all answers of one instance, must come from one version.
 inline constexpr int kOtherVersion = 409;
-// A peer that can't reach enough servers answers this, before any has run. The
-// asker sends the query itself then, and learns whether it is cut off as well:
-// from the peer's refusals alone it would go on taking callers that the
-// balancer could send elsewhere.
+// Status of a peer that cannot reach enough servers, before any has run the
+// query. The forwarding instance then sends the query itself and so finds out
+// whether it is cut off too. From the peer's refusals alone it would keep
+// accepting callers that the balancer could send elsewhere.
 inline constexpr int kOutOfReach = 424;
 // In that answer: the peer's data centre is cut off from the others.
 inline constexpr std::string_view kCutOffHeader = "Hp-Cut-Off";
@@ -78,54 +81,57 @@
  public:
   using OnEnd = std::function<void(HandedEnd, HttpReply)>;
 
-  // `prober` outlives it, and is told who answers and who doesn't.
+  // `prober` must outlive this object; it is notified of replies and failures.
   PeerSender(Loop* loop, Prober* prober) : loop_(loop), prober_(prober) {}
   ~PeerSender();
   PeerSender(const PeerSender&) = delete;
   PeerSender& operator=(const PeerSender&) = delete;
 
-  // `relays`: those that ask for parts near them.
+  // `senders` run whole fan-outs for other instances; `relays` query the shards
+  // in their own data centre.
   void SetPeers(const engine::Peer& own,
                 const std::vector<engine::Peer>& senders,
                 const std::vector<engine::Peer>& relays);
   const std::vector<engine::Peer>& senders() const { return senders_; }
-  // The share of its time that this instance is at work.
+  // Fraction of time that this instance's loop is busy.
   void SetOwnBusy(double share) { own_busy_ = share; }
   double own_busy() const { return own_busy_; }
 
-  // The peer that a query over shards in these data centres goes to, of those
-  // that `homes` allow; nothing if this instance sends it itself.
+  // Chooses the peer for a fan-out over shards in these data centres, among
+  // those that `homes` allows; nullopt if this instance should run it itself.
   std::optional<engine::Peer> Choose(const std::vector<DataCentreId>& places,
                                      const engine::Homes& homes);
-  // Its role among those that send fan-outs, and its place there; one that
-  // isn't among them has no place.
+  // This instance's role and rank among the senders; the default if it is not
+  // one.
   engine::GroupRank Rank() const;
 
-  // A peer in that data centre that takes parts of queries, another one each
-  // time; nullptr if none is within reach.
+  // A reachable relay in that data centre, rotating between them; nullptr if
+  // there is none.
   const engine::Peer* RelayIn(const DataCentreId& where);
   bool HasRelayIn(const DataCentreId& where) const;
-  // Of the parts asked for in that data centre this share lacked.
+  // Records the fraction of parts requested from that data centre's relays that
+  // were missing.
   void NoteLacking(const DataCentreId& where, double share);
 
-  // How long a peer may have a query: when its answer is due, after which a
-  // peer that says nothing to anyone gets no further ones, and when it is given
-  // up.
+  // Time limits of a forwarded query: when the answer is due, after which a
+  // peer that answers no query at all gets no further ones, and when the query
+  // is abandoned.
   struct Times {
     Millis due;
     Millis timeout;
   };
 
-  // Hands it over. `on_end` is called once, unless the returned function is
-  // called first: the caller has left, and the peer is told by the end of the
-  // connection.
+  // Forwards a query. `on_end` is called once, unless the returned function is
+  // called first to cancel it (the caller has disconnected); the peer learns of
+  // that by the closed connection.
   std::function<void()> Send(const engine::Peer& peer, std::string text,
                              bool to_head, const Times& times, OnEnd on_end);
 
  private:
   struct Open;
   bool IsAvoided(const InstanceId& peer) const;
-  // What a sender has said of late; one that said nothing isn't known to be.
+  // The busy fraction a sender reported recently; 0 if there is no recent
+  // report.
   double BusyShare(const InstanceId& peer) const;
   void NoteBusy(const InstanceId& peer, const HttpReply& reply);
   bool TakesParts(const engine::Peer& peer, const DataCentreId& where) const;
@@ -140,9 +146,9 @@
   std::vector<engine::Peer> senders_;
   std::vector<engine::Peer> relays_;
   std::map<InstanceId, std::vector<std::shared_ptr<HttpChannel>>> idle_;
-  // When a peer last answered.
+  // Time of each peer's last answer.
   std::map<InstanceId, Millis> heard_;
-  // Peers that could not be reached, until when they get nothing.
+  // Peers that could not be reached, and until when they get no queries.
   std::map<InstanceId, Millis> avoided_;
   std::map<DataCentreId, engine::RelayHealth> health_;
   struct Busy {
--- a/packages/edge/include/hibiscuspick/edge/prober.h
+++ b/packages/edge/include/hibiscuspick/edge/prober.h
@@ -1,4 +1,4 @@
-// Which other data centres can be reached. One thread's.
+// Detects which other data centres are reachable. Used by one thread only.
 #pragma once
 
 #include <functional>
@@ -14,48 +14,51 @@
 
 namespace hibiscuspick::edge {
 
-// Tries connections to a data centre that has given no sign for a while: first
-// to instances there, then to backend servers too, since all of the instances
-// may be down and its servers well. Refusals are no sign: some cuts refuse what
-// others swallow. A data centre that is lost is probed until it is heard.
+// Probes a data centre that has not replied for a while by opening TCP
+// connections: first to instances there, then also to backend servers, since
+// all instances may be down while the servers are up. A refused connection is
+// not taken as contact, since some network partitions refuse connections and
+// others drop them. An unreachable data centre is probed until it replies.
 class Prober {
  public:
   using AddressesOf = std::function<std::vector<Address>(const DataCentreId&)>;
 
-  // `active`: a switch, see settings::Mechanisms.
+  // `active`: the mechanism switch; see settings::Mechanisms.
   Prober(Loop* loop, DataCentreId own, bool active = true)
       : loop_(loop), own_(std::move(own)), active_(active) {}
 
   // `peers`: some instances of each data centre.
   void SetPeers(const std::vector<engine::Peer>& peers);
-  // Gives addresses of servers in a data centre.
+  // `servers` returns addresses of backend servers in a data centre.
   void set_servers(AddressesOf servers) { servers_ = std::move(servers); }
 
-  // Told when all others are lost, and when one is back after that.
+  // Callback invoked with true when all other data centres have become
+  // unreachable, and with false when one is reachable again.
   void set_on_isolated(std::function<void(bool)> it) {
     on_isolated_ = std::move(it);
   }
 
-  // Something came from there.
+  // Records that data was received from the data centre.
   void RecordContact(const DataCentreId& where);
-  // A connection there failed or broke. Where others are heard this tells
-  // nothing; failures for kQuiet without a word between them are a sign.
+  // Records a failed connection. It is ignored while the data centre replies to
+  // others; failures for kSilenceThreshold without contact start a probe.
   void NoteFailed(const DataCentreId& where);
-  // A question sent at `since` is unanswered.
+  // A request sent at `since` is unanswered: starts a probe if the data centre
+  // has been quiet for long enough.
   void Suspect(const DataCentreId& where, Millis since);
-  // The same, of one that needs answers from elsewhere.
+  // The same for a request whose answer depends on other data centres.
   void SuspectAll(Millis since);
 
   bool IsLost(const DataCentreId& where) const;
-  // All other data centres are lost.
+  // Whether all other data centres are unreachable.
   bool IsAlone() const;
-  // When any other data centre was heard.
+  // Time of the last contact with any other data centre.
   Millis heard_elsewhere() const { return heard_elsewhere_; }
 
  private:
   struct Place {
     engine::Reachability reach;
-    // The first failure since it was heard.
+    // The first failure since the last contact.
     Millis failed{-1};
     std::vector<Address> peers;
   };
--- a/packages/edge/include/hibiscuspick/edge/query_metrics.h
+++ b/packages/edge/include/hibiscuspick/edge/query_metrics.h
@@ -1,4 +1,4 @@
-// What an instance counts of its queries, as Prometheus text.
+// Metrics of the queries that an instance serves, as Prometheus text.
 #pragma once
 
 #include <array>
@@ -16,9 +16,9 @@
   QueryMetrics();
   void Count(const QueryOutcome& outcome);
   void CountHandedOver() { handed_over_->Add(); }
-  // A request that was refused before it became a query.
+  // Counts a request that was refused before it became a query.
   void CountRefused() { refused_->Add(); }
-  // How much later than due a timer of the loop ran.
+  // Records how long after its due time a timer of the loop ran.
   void ObserveDelay(Millis it) { delay_->Observe(it); }
   metrics::Registry* registry() { return &registry_; }
   std::string Text() const { return registry_.PrometheusText(); }
--- a/packages/edge/include/hibiscuspick/edge/query_run.h
+++ b/packages/edge/include/hibiscuspick/edge/query_run.h
@@ -1,5 +1,5 @@
-// One request of a caller, from its arrival to its answer: its parts, their
-// attempts, hedges and retries, and its clocks.
+// One caller's request from arrival to answer: its parts, their attempts,
+// hedges and retries, and its deadlines.
 #pragma once
 
 #include <functional>
@@ -25,61 +25,67 @@
 class PeerSender;
 struct HandedQuery;
 
-// What a request needs of the instance; outlives it.
+// Shared state of the instance that requests use; outlives them.
 struct QueryContext {
   Loop* loop = nullptr;
   Backends* backends = nullptr;
   const WireNames* names = nullptr;
-  // Taken off the caller's target: the way to the caller and back, and what
-  // this instance needs to send the answer.
+  // Subtracted from the caller's target: network time to the caller and back,
+  // and the time this instance takes to send the answer.
   Millis answer_margin{9};
-  // The same beside the way, where that is known.
+  // Used instead where the network time is known: only the time this instance
+  // takes.
   Millis own_margin{4};
-  // How much after its clock an answer leaves; taken off the target too.
+  // How long after its due time an answer leaves; subtracted from the target
+  // too.
   engine::LagMeter answer_lag;
-  // Peers that ask for parts near them, and what that takes beside their own
-  // time. The first guess is a way and a half.
+  // Peers that query the shards in their own data centre, and the latency of
+  // that hop without the peer's processing time. The initial value is one and a
+  // half one-way trips.
   PeerSender* peers = nullptr;
   engine::LagMeter relay_lag{Millis(5)};
-  // Taken off the caller's deadline, for the same reason.
+  // Subtracted from the caller's deadline, for the same reason as
+  // answer_margin.
   Millis end_margin{12};
 };
 
-// The clocks of a query that a peer has handed over: what is left of them.
+// Time left of the deadlines of a query that a peer has forwarded.
 struct HandedClocks {
   Millis answer_in;
   Millis end_in;
   bool returning = false;
-  // What may pass after that until the peer has the answer, as it has measured;
-  // `answer_in` has the usual of these taken off.
+  // Measured distribution of the time from `answer_in` until the peer has the
+  // answer. The typical lag is already subtracted from `answer_in`.
   std::optional<engine::LagBounds> lags = std::nullopt;
 };
 
-// Why a request got no success.
+// Why a request did not succeed.
 enum class QueryFault {
   kNone,
-  // No server took it: it has not run.
+  // No server was available; the request has not run.
   kNoServer,
-  // Waited in vain for room: it has not run.
+  // No slot became free in time; the request has not run.
   kNoRoom,
-  // Refused, as its shards' queues are too long: it has not run.
+  // Refused by admission control, since its shards' queues are too long; the
+  // request has not run.
   kOverloaded,
-  // Servers failed it; it may have run.
+  // Servers failed; the request may have run.
   kServersFailed,
-  // The caller's time, or the route's, is up.
+  // The caller's deadline or the route's timeout has passed.
   kTimeUp,
-  // The instance stops; it may have run.
+  // The instance is shutting down; the request may have run.
   kStopping,
 };
 inline constexpr size_t kQueryFaultCount =
     static_cast<size_t>(QueryFault::kStopping) + 1;
 std::string_view FaultName(QueryFault fault);
 
-// How a query ended that was handed to a peer.
+// How a forwarded query ended.
 enum class HandedEnd {
-  // The peer's answer is the caller's.
+  // The peer answered; its answer is passed to the caller.
   kAnswer,
-  // The peer hasn't begun: it can't be reached, or has another version.
+  // The peer did not start the query: it is unreachable or has another
+  // configuration version.
   kNotBegun,
   // The connection broke after the query was sent.
   kBroken,
@@ -91,19 +97,19 @@
   size_t shards = 0;
   size_t shards_in = 0;
   size_t extras = 0;
-  // Shards that were kept back and never asked.
+  // Deferred shards that were never queried.
   size_t kept_back = 0;
   bool ran = false;
-  // Its parts waited behind those of queries that could still be on time.
+  // Its parts were queued after those of queries that could still be on time.
   bool behind = false;
-  // Places of parts that are still awaited after this answer to a peer, until
-  // Resume or DropRest.
+  // Indexes of shards that are still awaited after this answer to a peer, until
+  // Resume or DropRemainder.
   std::vector<size_t> open;
-  // After the time at which an answer is worth most.
+  // The answer came after the route's target.
   bool late = false;
-  // Of queries that are late or failed: the first services that lack, each with
-  // the server that was asked last; of those refused for overload, the times
-  // that decided it.
+  // For late or failed queries: the first missing services, each with the
+  // server that was tried last. For queries refused by admission control: the
+  // estimates that decided it.
   std::string lacking;
   Millis took;
 };
@@ -117,43 +123,45 @@
            const engine::Route* route, engine::RoutePace* pace,
            HttpRequest request);
 
-  // Starts the parts. `services`: the shards, or the one service of a plain
-  // request. `on_done` is called once unless the caller leaves.
+  // Starts the parts. `services` are the shards, or the one service of a plain
+  // request. `on_done` is called once unless the caller disconnects.
   void Start(const std::vector<ServiceId>& services, OnDone on_done);
 
-  // What the caller's request leaves of the route's clocks at this moment.
+  // Time left of the route's and the caller's deadlines for this request, as of
+  // now.
   static HandedClocks ClocksFor(const QueryContext& context,
                                 const engine::Route& route,
                                 engine::RoutePace* pace,
                                 const HttpRequest& request);
 
-  // The query was handed over by a peer. Before Start.
+  // Sets the deadlines of a query forwarded by a peer. Before Start.
   void set_handed(const HandedClocks& it) { handed_ = it; }
 
-  // Only these shards of the route are asked for, and any of them make an
-  // answer. Before Start, with the services of the same shards.
+  // Restricts the query to these shards of the route; any number of them makes
+  // an answer. Before Start, with the services of the same shards.
   void set_partial(std::vector<size_t> places) { places_ = std::move(places); }
 
-  // A peer that got an answer, and lacks `wanted` parts, asks for the rest of
-  // them: these places. Answered by the first so many that come, and at the end
-  // by what is here.
+  // Continues a query after its first answer to a peer, which still needs
+  // `wanted` of the parts in `shard_indices`. Answers when that many have
+  // arrived, or at the deadline with those that have.
   void Resume(const HandedClocks& clocks, const std::vector<size_t>& places,
               size_t wanted, OnDone on_done);
-  // Nobody asks for the rest.
+  // Stops the open parts: the peer did not ask for them.
   void DropRest();
 
-  // The caller has left: what runs for it is stopped.
+  // Stops all parts because the caller has disconnected.
   void Cancel();
-  // The instance stops: answers with what is here.
+  // Answers immediately with the parts received, since the instance is shutting
+  // down.
   void GiveUp();
 
  private:
-  // What an attempt is, for the budget of extra ones.
+  // How an attempt is charged to the budget of extra attempts.
   enum class Extra {
     kNone,
-    // A repeat, or a second attempt without which the query may fail.
+    // A retry, or a hedge without which the query may fail.
     kNeeded,
-    // A second attempt that makes the answer more complete.
+    // A hedge that would only raise the answer's coverage.
     kOptional,
   };
   struct OpenTry {
@@ -164,20 +172,20 @@
   struct Part {
     ServiceId service;
     std::vector<OpenTry> open;
-    // Servers it may have run on.
+    // Servers on which the part may have run.
     std::vector<BackendServerId> ran_on;
     int refusals = 0;
     std::optional<WaitKey> waiting;
     bool in = false;
     bool failed = false;
-    // A peer got it in an earlier answer, or doesn't want it.
+    // The peer received it in an earlier answer or does not need it.
     bool settled = false;
-    // Kept back until others are late.
+    // Not queried until other parts are late.
     bool deferred = false;
-    // A peer asks for it.
+    // A peer queries this shard.
     bool relayed = false;
     HttpReply reply;
-    // The last answer of a server that was no success.
+    // The last unsuccessful reply of a server.
     std::optional<HttpReply> failure;
 
     bool IsOver() const { return in || failed || settled; }
@@ -188,23 +196,25 @@
   }
   void ReadClocks();
   void StartPart(size_t i);
-  // False if the query was answered at once.
+  // Returns false if the query was answered immediately.
   bool StartParts();
-  // Hands parts that are far to peers near them; gives the others.
+  // Forwards parts in other data centres to relays there; returns the remaining
+  // parts.
   std::vector<size_t> RelayParts(const std::vector<size_t>& asked);
   bool SendRelay(const engine::RelayGroup& group);
-  // Sends a question about parts of this query, whose answer is due in `due`.
+  // Sends a request for parts of this query to a peer; the answer is due in
+  // `due`.
   void AskPeer(const engine::Peer& peer, HandedQuery query, Millis due,
                const std::function<void(HandedEnd, const HttpReply&)>& on_end);
   void OnRelayed(const engine::RelayGroup& group, const engine::Peer& peer,
                  HandedEnd end, const HttpReply& reply);
-  // What a peer said of these shards: takes what is in, keeps what may come,
-  // and asks for the others here. `ran`: the peer may have sent them to
-  // servers.
+  // Handles a peer's answer for these shards: takes the results received, keeps
+  // track of those that may still come, and queries the others from here.
+  // `ran`: the peer may have sent them to servers.
   void TakeFromPeer(const std::vector<size_t>& shards, const engine::Peer& peer,
                     HandedEnd end, const HttpReply& reply, bool ran);
   bool TakeRelayed(const std::vector<size_t>& shards, const HttpReply& reply);
-  // Parts that peers still await.
+  // Parts that a peer still awaits.
   struct Rest {
     engine::Peer peer;
     std::string token;
@@ -221,19 +231,19 @@
   void WaitForRoom(size_t i, bool extra);
   bool TryPart(size_t i, Extra extra);
   AttemptOrder OrderFor(size_t i);
-  // The caller's request as it is passed on, without what is said anew.
+  // The caller's request without the headers that are set anew for each server.
   HttpRequest Forwarded() const;
   std::string TextFor(const BackendServerId& server) const;
   bool IsOurs(const HttpReply& reply) const;
   void OnAttempt(size_t i, AttemptResult result);
   bool IsGood(const HttpReply& reply) const;
-  // Takes the server's word on how much longer it is cold.
+  // Records the remaining warm-up time that the server reported, if any.
   void NoteWarmup(const AttemptResult& result);
   void OnFailed(size_t i, const AttemptResult& result);
   void RetryPart(size_t i, bool ran);
   void HedgeParts();
   bool MayHedge(const Part& part) const;
-  // Whether the route allows that one more server runs it.
+  // Whether the route allows an attempt at one more server.
   bool HasAttemptLeft(const Part& part) const;
   Millis NextHedge() const;
   void Check();
@@ -259,35 +269,36 @@
   engine::RoutePace* const pace_;
   HttpRequest request_;
   std::string request_id_;
-  // Whose budget of extra attempts it draws on: the shards of one fan-out
-  // share one.
+  // The service whose budget of extra attempts this query uses; shared by all
+  // shards of a fan-out.
   ServiceId budget_of_;
   std::vector<Header> forwarded_;
   OnDone on_done_;
   std::optional<HandedClocks> handed_;
-  // The places in the route of a partial query's shards; empty for a whole one.
+  // Indexes within the route of a partial query's shards; empty for a whole
+  // query.
   std::vector<size_t> places_;
-  // Records that peers have merged already.
+  // Result records that peers have already merged.
   std::vector<std::string> merged_;
-  // Ends the questions to peers.
+  // Functions that cancel the requests to peers.
   std::vector<std::function<void()>> relays_;
   std::vector<Rest> rests_;
-  // Has answered a peer, and awaits its word on the parts that are open.
+  // Has answered a peer and waits for it to ask for the open parts.
   bool resting_ = false;
-  // How many of those the peer lacks; 0 before it asked.
+  // How many of the open parts the peer needs; 0 before it asked.
   size_t wanted_ = 0;
   std::vector<Part> parts_;
   engine::GatherClocks clocks_;
-  // Since when it is asked for; see Resume.
+  // Start of the query, or of its continuation by Resume.
   Millis began_;
   Loop::TimerId timer_ = 0;
   size_t extras_ = 0;
   bool returning_ = false;
   bool behind_ = false;
-  // The answer clock is what the query is looked at for.
+  // Set while the timer of the answer time is handled.
   bool by_clock_ = false;
   Millis retry_after_{50};
-  // What a refusal for overload rests on.
+  // The estimate on which an admission refusal is based.
   engine::ShardOutlook refused_by_;
   bool done_ = false;
 };
--- a/packages/edge/include/hibiscuspick/edge/request_log.h
+++ b/packages/edge/include/hibiscuspick/edge/request_log.h
@@ -1,5 +1,5 @@
-// Log lines of requests: one for each that was refused, failed or late, and at
-// level debug for those that went well.
+// Rate-limited log of requests: one line for each request that was refused,
+// failed or late, and at level debug for successful ones.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,21 @@
 
 class RequestLog {
  public:
-  // A request that never became a query.
+  // Logs a request that was refused before it became a query.
   void Refused(std::string_view request_id, int status, std::string_view why,
                Millis now);
-  // A query's end. `config_version`: the one it was served by.
+  // Logs the outcome of a query. `config_version` is the configuration that
+  // served it.
   void Ended(std::string_view request_id, const RouteId& route,
              uint64_t config_version, const QueryOutcome& outcome, Millis now);
 
  private:
-  // Whether a line may be written; says before it how many were left out.
+  // Whether the budget allows a line; logs first how many were suppressed since
+  // the last.
   static bool Take(LineBudget* budget, std::string_view what, Millis now);
 
-  // Requests that failed come before those that were refused or went well:
-  // each kind has its own.
+  // One budget for each kind, so that refused or successful requests cannot
+  // suppress lines of failed ones.
   LineBudget refused_;
   LineBudget failed_;
   LineBudget good_;
--- a/packages/edge/include/hibiscuspick/edge/traffic_server.h
+++ b/packages/edge/include/hibiscuspick/edge/traffic_server.h
@@ -1,5 +1,6 @@
-// The traffic thread's whole: callers' requests in, readiness, and the view of
-// configuration and servers that requests are served by.
+// The server on the traffic thread: accepts callers' requests, reports
+// readiness, and holds the configuration and server list that requests are
+// served with.
 #pragma once
 
 #include <functional>
@@ -32,25 +33,26 @@
 
 struct TrafficSettings {
   Address callers;
-  // Where the balancer asks whether this instance is ready, and the path; the
-  // metrics are there too.
+  // Address and path of the load balancer's readiness check; /metrics is served
+  // there too.
   Address readiness;
   std::string readiness_path;
-  // Where peers hand queries to.
+  // Address for queries forwarded by peers.
   Address queries;
   WireNames names;
   BackendsPolicy backends;
-  // The slack in each service's budget of extra attempts, for all instances.
+  // Total slack in each service's budget of extra attempts, over all instances.
   double extra_slack = 0;
-  // What a cold server gets beyond its service's bound.
+  // Limits on requests to a cold server beyond its service's own.
   engine::ColdLimits cold;
-  // Instances until the number is known.
+  // Assumed number of instances until it is known.
   size_t instances = 8;
   Millis answer_margin{9};
   Millis end_margin{12};
-  // A planned stop: until `stop_refuse` new requests are served as ever, since
-  // the balancer still sends them; by `stop_answer` every request has its
-  // answer; at `stop_end` the process ends.
+  // Phases of a graceful shutdown, from its start: until `stop_refuse` new
+  // requests are served, since the load balancer still sends them; at
+  // `stop_answer` every request still running is answered; at `stop_end` the
+  // process exits.
   Millis stop_refuse{3000};
   Millis stop_answer{5300};
   Millis stop_end{5600};
@@ -62,71 +64,76 @@
 
   Result<Done> Listen();
 
-  // Where others of the process count too.
+  // Registry in which other components of the process add their metrics.
   metrics::Registry* registry() { return metrics_.registry(); }
 
-  // The view in force from now on; from the loop's thread. A configuration
-  // with a lower version than the one held is passed over.
+  // Puts a configuration or server list in force; call on the loop's thread. A
+  // configuration with a version lower than the current one is ignored.
   void SetConfig(std::shared_ptr<const engine::TrafficConfig> config);
   void SetServers(const std::vector<engine::ServerEntry>& entries);
-  // Servers in these data centres get nothing from now on. Before the first
-  // SetServers, with which requests begin to be served.
+  // Excludes servers in these data centres from now on. The first call comes
+  // before the first SetServers, after which requests are served.
   void SetEvacuated(const std::set<DataCentreId>& places);
-  // This instance among all, of which some send fan-outs for the others, and
-  // some, or the same, ask for parts near them.
+  // The other instances: `senders` run fan-outs for the others, `relays` query
+  // shards in their own data centre; the two may overlap. `own_place` is this
+  // instance's position among all.
   struct Place {
     size_t instances = 1;
-    // Of these before it in an order that all agree on.
+    // Number of instances before this one in an order that all agree on.
     size_t rank = 0;
   };
   void SetPeers(const engine::Peer& own,
                 const std::vector<engine::Peer>& senders,
                 const std::vector<engine::Peer>& relays,
                 const Place& own_place);
-  // Some instances of each other data centre, by which it is found out whether
-  // that can be reached.
+  // Some instances of each other data centre, which are probed for its
+  // reachability.
   void SetProbed(const std::vector<engine::Peer>& peers);
 
-  // Told when this instance finds its data centre cut off and of no use to
-  // callers, and when it hears another one again.
+  // Callback invoked with true when this instance finds its data centre cut off
+  // and unable to serve callers, and with false when another data centre is
+  // reachable again.
   void set_on_cut_off(std::function<void(bool)> it) {
     on_cut_off_ = std::move(it);
   }
-  // Another instance of the data centre has found so, and perhaps of routes for
-  // which no caller has come here yet. Whether the others can be reached is
-  // looked into, not believed: it may be that one alone that is cut off.
+  // Handles a report of another instance of this data centre that it is cut off
+  // and unable to serve, possibly for routes that no caller has requested here
+  // yet. Starts probes rather than trusting the report, since only that
+  // instance may be cut off.
   void LookIfCutOff();
 
-  // Not ready from now on; `done` is called when nothing is in hand any more
-  // or the time is up.
+  // Starts a graceful shutdown: readiness is reported as false; `done` is
+  // called when no requests are left or the time is up.
   void Stop(const std::function<void()>& done);
 
  private:
   SessionPolicy CallersPolicy();
   SessionPolicy ReadinessPolicy();
   bool IsReady();
-  // Whether the data centre is cut off and the routes that callers ask for need
-  // more shards than are within reach: another data centre serves them better.
+  // Whether the data centre is cut off and the routes in use need more shards
+  // than are available here, so that another data centre serves their callers
+  // better.
   bool IsUseless();
   SessionPolicy QueriesPolicy();
   void OnRequest(const std::shared_ptr<HttpSession>& session,
                  HttpRequest request);
-  // A query that a peer hands over.
+  // Handles a query forwarded by a peer.
   void OnHanded(const std::shared_ptr<HttpSession>& session,
                 HttpRequest request);
-  // Stops what runs for whoever is at the other end, once that has left.
+  // Cancels the query if the other side of the session disconnects.
   void CancelIfGone(const std::shared_ptr<HttpSession>& session,
                     const std::shared_ptr<QueryRun>& query);
   void OnRestAsked(const std::shared_ptr<HttpSession>& session,
                    const HandedQuery& handed);
-  // Answers a peer, which may ask for what is still open.
+  // Answers a peer, with a token for the parts that are still open.
   void AnswerPeer(const std::shared_ptr<HttpSession>& session,
                   const QueryOutcome& outcome,
                   const std::shared_ptr<QueryRun>& query,
                   const std::string& request_id);
-  // nullptr if no route of the configuration in force is asked for.
+  // The route for the request in the current configuration; nullptr if none.
   const engine::Route* RouteOf(const HttpRequest& request) const;
-  // A caller's request that no peer serves; refused without a route.
+  // Serves a caller's request on this instance; refuses it if there is no
+  // route.
   void ServeHere(const std::shared_ptr<HttpSession>& session,
                  HttpRequest request, const engine::Route* route);
   void Serve(const std::shared_ptr<HttpSession>& session, HttpRequest request,
@@ -159,15 +166,17 @@
   PeerSender peers_;
   QueryMetrics metrics_;
   Place place_;
-  // What handing a query over costs in time, beside the peer's own, within the
-  // data centre and to another. The first guess is a way and a half.
+  // Latency of forwarding a query to a peer in this data centre and in another,
+  // without the peer's processing time. The initial values are one and a half
+  // one-way trips.
   engine::LagMeter near_lag_{Millis(4)};
   engine::LagMeter far_lag_{Millis(7)};
   std::shared_ptr<const engine::TrafficConfig> config_;
   bool has_servers_ = false;
   bool stopping_ = false;
   bool useless_ = false;
-  // When a peer said last that the data centre is cut off and of no use.
+  // When a peer last reported that the data centre is cut off and unable to
+  // serve.
   std::optional<Millis> told_useless_;
   std::function<void(bool)> on_cut_off_;
   Millis stop_began_;
@@ -175,19 +184,19 @@
   RequestLog request_log_;
   std::map<RouteId, std::unique_ptr<engine::RoutePace>> paces_;
   std::map<RouteId, engine::SplitState> splits_;
-  // Worked out once for each list of servers: an instance of an eighth of a
-  // core looks at hundreds of them for each query else.
+  // Cached for each server list: computing it scans hundreds of servers, too
+  // much per query for an instance with an eighth of a core.
   struct RoutePlaces {
     uint64_t generation = 0;
     std::vector<DataCentreId> places;
   };
   std::map<RouteId, RoutePlaces> places_;
   std::unordered_set<std::shared_ptr<QueryRun>> running_;
-  // Queries that were answered to a peer with parts still open, by the name
-  // that the answer gave.
+  // Queries that were answered to a peer with parts still open, by the token in
+  // the answer.
   std::unordered_map<std::string, std::shared_ptr<QueryRun>> rests_;
   uint64_t last_rest_ = 0;
-  // Queries that a peer has.
+  // Queries that a peer is running for this instance.
   struct HandedOut {
     std::shared_ptr<HttpSession> session;
     HttpRequest request;
--- a/packages/edge/include/hibiscuspick/edge/wire_names.h
+++ b/packages/edge/include/hibiscuspick/edge/wire_names.h
@@ -1,5 +1,5 @@
-// The names of headers that carry meaning of ours. They belong to whoever the
-// instance serves, so they come from the adapter and not from the code here.
+// Names of the HTTP headers with a meaning to this software. They are defined
+// by the platform that an instance is deployed on, so the adapter sets them.
 #pragma once
 
 #include <string>
@@ -7,21 +7,22 @@
 namespace hibiscuspick::edge {
 
 struct WireNames {
-  // A caller's id of one attempt, echoed by servers.
+  // Id that a caller gives one attempt; servers echo it.
   std::string request_id;
-  // Milliseconds that whoever asks will wait.
+  // Milliseconds that the sender of the request will wait.
   std::string deadline;
-  // A server's receipt.
+  // Stamp by which a server certifies its reply.
   std::string stamp;
-  // The server that a request is for; any other refuses it.
+  // Id of the server that a request is meant for; others refuse it.
   std::string expect_instance;
-  // A server's word that it has not run the request.
+  // Set in a reply if the server has not run the request.
   std::string not_run;
-  // How many milliseconds longer a server is cold.
+  // Remaining warm-up time of a server, in milliseconds.
   std::string warmup;
-  // A server's word on its load; see engine::ReadLoadReport.
+  // A server's load report; see engine::ParseLoadReport.
   std::string load;
-  // The receipts of the parts of a merged answer, and how many shards lack.
+  // In a merged answer: the stamps of its parts, and the number of missing
+  // shards.
   std::string part_stamps;
   std::string parts_missing;
 };
--- a/packages/edge/src/backends.cc
+++ b/packages/edge/src/backends.cc
@@ -11,12 +11,12 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// An attempt that nobody waits for may end by itself within this, which keeps
-// the connection and tells the server's speed; past it the connection is given
-// up for the slot behind it.
+// A superfluous attempt may finish within this time, which keeps the connection
+// and gives a latency sample of the server; after that the connection is closed
+// to free the server's slot.
 constexpr Millis kAbandonedTime{350};
 
-// A service whose servers are all slow still does something.
+// Lower bound, so that a service whose servers are all slow has a finite wait.
 constexpr double kLeastAtOnce = 0.2;
 
 using Place = std::map<WaitKey, Waiting>::const_iterator;
@@ -33,7 +33,8 @@
       loop_->At(SteadyNow() + kSweepInterval, [this] { LookForSilence(); });
 }
 
-// Channels and their streams hold each other until one is closed.
+// Closes all channels: a channel and its stream hold references to each other
+// until one is closed.
 Backends::~Backends() {
   loop_->Cancel(sweep_);
   for (const auto& [id, server] : servers_) {
@@ -189,7 +190,7 @@
   return StartedAttempt{id, server->belief.entry.id};
 }
 
-// The connection used last, since it is the likeliest to be alive.
+// Takes the connection used last, which is the most likely to be alive.
 std::shared_ptr<HttpChannel> Backends::TakeIdle(Server* server, bool once) {
   auto& idle = server->idle;
   while (!idle.empty()) {
@@ -279,7 +280,7 @@
   if (attempt->order.on_end) {
     attempt->order.on_end(std::move(result));
   }
-  // Whoever got the result has noted it; what is left over is forgotten.
+  // on_end has recorded the result; this removes the attempt if it did not.
   engine::NoteEnded(&server->belief, id);
   Forget(server);
   PumpSoon(server->belief.entry.service);
@@ -290,14 +291,14 @@
   if (found == attempts_.end()) return;
   auto& attempt = *found->second;
   attempt.order.on_end = nullptr;
-  // Where parts wait for a slot, work that nobody wants takes it from them: two
-  // of twenty parts of each query that is answered at its target are such. A
-  // new connection costs less.
+  // Where parts wait for a slot, superfluous work delays them: in a query
+  // answered at its target, two of twenty parts are superfluous. A new
+  // connection costs less.
   const auto& waiting = StateOf(attempt.server->belief.entry.service).waiting;
   const bool in_the_way =
       policy_.mechanisms.room_from_abandoned && !waiting.empty();
   if (!stop_server && !in_the_way) {
-    // Its reply is still worth hearing: it tells the server's speed.
+    // The reply is still a latency sample of the server.
     attempt.order.on_end =
         [this, usual = attempt.order.usual](const AttemptResult& it) {
           if (it.end == AttemptEnd::kReply) {
--- a/packages/edge/src/backends_impl.h
+++ b/packages/edge/src/backends_impl.h
@@ -1,4 +1,4 @@
-// What Backends keeps of each server, service and attempt.
+// Per-server, per-service and per-attempt state of Backends.
 #pragma once
 
 #include <map>
@@ -9,17 +9,17 @@
 
 namespace hibiscuspick::edge {
 
-// What a server that states no idle timeout is taken to have.
+// Idle timeout assumed of a server that does not state one.
 inline constexpr Millis kDefaultIdleTimeout{5000};
 
-// Open attempts are looked through for silent servers this often.
+// Interval at which open attempts are checked for silent servers.
 inline constexpr Millis kSweepInterval{100};
 
 struct Backends::Server : std::enable_shared_from_this<Backends::Server> {
   engine::ServerBelief belief;
   std::vector<std::shared_ptr<HttpChannel>> idle;
   Millis idle_timeout = kDefaultIdleTimeout;
-  // When it last said anything.
+  // Time of the last reply or successful connect.
   Millis heard{-1};
   bool probing = false;
 };
@@ -30,7 +30,7 @@
   engine::ExtraBudget extra;
   ServiceShare share;
   std::map<WaitKey, Waiting> waiting;
-  // Of the shards that it is asked together with.
+  // Shared by the shards that are queried together with this service.
   std::shared_ptr<engine::PauseCycle> pause_cycle;
   size_t turn = 0;
   Loop::TimerId timer = 0;
@@ -45,7 +45,7 @@
   bool was_sent = false;
 };
 
-// Takes the idle timeout from the reply's Keep-Alive header, if it has one.
+// Reads the idle timeout from the reply's Keep-Alive header, if present.
 void NoteIdleTimeout(const HttpReply& reply, Millis* idle_timeout);
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends_queue.cc
+++ b/packages/edge/src/backends_queue.cc
@@ -1,4 +1,4 @@
-// Parts that wait for room at the servers of a service.
+// Queues of parts that wait for a free slot at the servers of a service.
 #include <utility>
 
 #include "backends_impl.h"
@@ -7,7 +7,8 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// A waiting part is looked at this often while its servers are avoided.
+// Interval at which waiting parts are retried, since a server's backoff ends
+// without an event.
 constexpr Millis kPumpInterval{10};
 
 }  // namespace
@@ -35,8 +36,8 @@
   });
 }
 
-// Puts those whose time has passed behind those that can still be on time.
-// They are served from what is left, and in the end refused or answered late.
+// Moves overdue parts after those that can still be on time. They get the slots
+// that are left and are answered late or refused at their deadline.
 void Backends::DemoteLate(ServiceState* state) {
   if (!policy_.mechanisms.late_behind) return;
   auto& waiting = state->waiting;
--- a/packages/edge/src/backends_reach.cc
+++ b/packages/edge/src/backends_reach.cc
@@ -1,4 +1,4 @@
-// Which servers can be reached, and whether the data centre is cut off.
+// Reachability of servers, and whether this data centre is cut off.
 #include <algorithm>
 
 #include "backends_impl.h"
@@ -8,21 +8,22 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// A server that is silent for longer than the longest usual pause is doubted.
+// Longer than the longest usual server pause; a server silent for this long is
+// suspected to be unreachable.
 constexpr Millis kSilence{400};
 
-// The bound is longer where attempts take long: with slots that all hold work
-// of a second, a server that says nothing for a while is well.
+// The timeout grows with the route's latency: a server whose slots are all
+// taken by requests of a second sends nothing for a while and is healthy.
 constexpr double kOverdueTimes = 4;
 
-// After this many times what makes an attempt overdue it is a sign against the
-// server's data centre, if nothing else there speaks.
+// An attempt older than this multiple of its overdue time makes its data centre
+// suspect, unless another server there replies.
 constexpr double kSignTimes = 2;
 
-// An instance takes its data centre for cut off if this many tries at servers
-// elsewhere have failed with none heard in between, for this long: more than a
-// pause of one server and the connect timeout of another, less than a second,
-// so that the balancer hears of it at its next question.
+// This instance's data centre counts as cut off after this many failures at
+// servers elsewhere with no contact for this time. The time exceeds one
+// server's pause plus another's connect timeout, and is below a second, so that
+// the load balancer's next readiness check sees the result.
 constexpr int kCutOffFailures = 5;
 constexpr Millis kCutOffSilence{700};
 
@@ -36,7 +37,7 @@
     if (it->belief.removed || entry.data_centre != where) continue;
     found.push_back(entry.address);
   }
-  // Another beginning each time: the first may be the one that is down.
+  // Rotates the list, since the first server may be the one that is down.
   if (!found.empty()) {
     const auto turn = static_cast<std::ptrdiff_t>(++probed_ % found.size());
     std::rotate(found.begin(), found.begin() + turn, found.end());
@@ -89,9 +90,9 @@
   }
 }
 
-// Attempts at a server that is cut off without a reset would else tell so only
-// when their callers' time is up, up to two seconds later, and each new query
-// would be sent after them.
+// Without this check, attempts at a server that is cut off without a reset
+// would fail only at their callers' deadline, up to two seconds later, and each
+// new query would be sent there too.
 void Backends::LookForSilence() {
   sweep_ =
       loop_->At(loop_->now() + kSweepInterval, [this] { LookForSilence(); });
@@ -106,9 +107,9 @@
   }
 }
 
-// A server that has said nothing to anyone since an attempt that is given up
-// may be gone without a word: its connections would swallow one request each.
-// They are dropped, and a new connection tells whether it is there.
+// A server without any reply since an abandoned attempt may be unreachable, and
+// each of its idle connections would lose one request. Closes them; a new
+// connection shows whether the server is reachable.
 void Backends::DoubtSilent(const std::shared_ptr<Server>& server,
                            Millis since) {
   if (server->heard > since || loop_->now() - since < kSilence) return;
@@ -117,21 +118,21 @@
   Probe(server);
 }
 
-// A server that can't be connected to is asked by connections alone, so that
-// no request has to wait to find out that it is back.
+// An unreachable server is probed with connections only, so that no request has
+// to wait to find out that it is reachable again.
 void Backends::Probe(const std::shared_ptr<Server>& server) {
   if (server->probing || server->belief.removed) return;
   if (!server->belief.unreachable) {
     Log(Part::kBackend)
-        .info("server {} of {} can't be reached", server->belief.entry.id.text,
-              server->belief.entry.service.text);
+        .info("server {} of service {} is unreachable",
+              server->belief.entry.id.text, server->belief.entry.service.text);
   }
   server->belief.unreachable = true;
   server->probing = true;
   loop_->At(loop_->now() + policy_.probe_interval, [this, server] {
     if (server->belief.removed) return;
     if (IsEvacuated(*server)) {
-      // SetEvacuated probes it when the data centre is open again.
+      // SetEvacuated starts a probe when the evacuation ends.
       server->probing = false;
       return;
     }
@@ -146,7 +147,7 @@
                          return;
                        }
                        Log(Part::kBackend)
-                           .info("server {} is back",
+                           .info("server {} is reachable again",
                                  server->belief.entry.id.text);
                        KeepChannel(server, channel);
                        TakeForCold(server.get());
@@ -157,7 +158,8 @@
 
 void Backends::NoteForeign(const AttemptResult& result) {
   Log(Part::kBackend)
-      .info("server {}: its address is another's", result.server.text);
+      .info("server {} treated as draining: another server has its address",
+            result.server.text);
   result.belief->draining = true;
   const auto found = servers_.find(result.server);
   if (found != servers_.end() &&
--- a/packages/edge/src/backends_servers.cc
+++ b/packages/edge/src/backends_servers.cc
@@ -1,4 +1,4 @@
-// How the list of servers comes in and what leaves with it.
+// Updates of the server list and of evacuated data centres.
 #include <algorithm>
 #include <charconv>
 #include <map>
@@ -29,11 +29,11 @@
 
 namespace {
 
-// Whether the entry tells of the server that is known, and not of another one
-// under its id: what replies, failures and words of leaving have shown holds
-// only of that one. A server that has started again under its id answers
-// nothing sent to the earlier one, and would get no work if that one had been
-// leaving or out of reach.
+// Whether the entry describes the known server and not another instance under
+// the same id. Statistics, reachability and draining state apply to one
+// instance only: a server restarted under its id does not answer requests sent
+// to its predecessor, and would get no requests if the predecessor was draining
+// or unreachable.
 bool IsSameServer(const engine::ServerEntry& known,
                   const engine::ServerEntry& entry) {
   return known.incarnation == entry.incarnation &&
@@ -53,7 +53,9 @@
 
 void Backends::RemoveServer(const std::shared_ptr<Server>& server) {
   if (!server->belief.removed) {
-    Log(Part::kBackend).info("server {} is gone", server->belief.entry.id.text);
+    Log(Part::kBackend)
+        .info("server {} removed from the server list",
+              server->belief.entry.id.text);
   }
   server->belief.removed = true;
   Retire(server);
@@ -83,9 +85,9 @@
     server->belief.warm_at = now + entry.warmup_left;
     server->belief.draining = server->belief.draining || entry.draining;
     Log(Part::kBackend)
-        .info("server {} of {} at {}: {}{}", entry.id.text, entry.service.text,
-              ToText(entry.address), is_new ? "new" : "changed",
-              entry.draining ? ", draining" : "");
+        .info("server {} of service {} at {} is {}{}", entry.id.text,
+              entry.service.text, ToText(entry.address),
+              is_new ? "new" : "changed", entry.draining ? ", draining" : "");
     if (server->belief.draining) Retire(server);
     PumpSoon(entry.service);
   }
@@ -141,7 +143,8 @@
   size_t most = 0;
   for (const auto& [place, n] : counts) most = std::max(most, n);
   std::vector<DataCentreId> all;
-  // One that lacks a few shards is as good: those are asked across.
+  // A data centre that lacks a few shards will do: those are queried in other
+  // data centres.
   constexpr double kNearlyAll = 0.9;
   for (const auto& [place, n] : counts) {
     if (static_cast<double>(n) >= kNearlyAll * static_cast<double>(most)) {
@@ -169,18 +172,18 @@
   return places;
 }
 
-// Ends the connections that no attempt is on.
+// Closes the idle connections.
 void Backends::Retire(const std::shared_ptr<Server>& server) {
   for (auto& it : std::exchange(server->idle, {})) it->Close();
 }
 
-// Drops a removed server once its last attempt has ended.
+// Deletes a removed server once its last attempt has ended.
 void Backends::Forget(const std::shared_ptr<Server>& server) {
   if (!server->belief.removed || !server->belief.open.empty()) return;
   auto& all = StateOf(server->belief.entry.service).servers;
   std::erase(all, server);
   const auto listed = servers_.find(server->belief.entry.id);
-  // Another one may stand under its id by now.
+  // Another server may be listed under its id by now.
   if (listed != servers_.end() && listed->second == server) {
     servers_.erase(listed);
   }
--- a/packages/edge/src/byte_stream.cc
+++ b/packages/edge/src/byte_stream.cc
@@ -17,16 +17,16 @@
 
 constexpr size_t kReadBytes = 65536;
 
-// The kernel asks a silent other side this often, and gives up after this many
-// questions: a connection that a partition or a lost path has silenced ends
-// after four seconds instead of never.
+// TCP keepalive interval and count, and the limit for unacknowledged data: a
+// connection silenced by a partition or a lost path fails after four seconds
+// instead of never.
 constexpr int kProbeSeconds = 2;
 constexpr int kProbes = 2;
 constexpr unsigned kUnackedMillis = 4000;
 
-// How long a connection that was closed in order waits for the other side to
-// end too. Closing with bytes unread would reset it and could take the last
-// answer from the other side's buffer.
+// How long to wait for the peer's end of stream after shutting down the send
+// side. Closing with unread bytes would reset the connection and could discard
+// the last answer in the peer's buffer.
 constexpr Millis kLinger{500};
 
 std::array<char, kReadBytes>& SharedBuffer() {
@@ -35,11 +35,11 @@
 }
 
 void SetOption(int fd, int level, int name, int value) {
-  // A system without the option only loses its speed-up.
+  // The options are optimisations, so an error is ignored.
   (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
-// Handlers may hold the owner that holds the stream. They are dropped later,
+// Handlers may own the stream's owner. They are destroyed in a later iteration,
 // since one of them may be running.
 void DropLater(Loop* loop, ByteStream::Handlers* handlers) {
   if (!handlers->on_bytes && !handlers->on_end) return;
@@ -133,7 +133,7 @@
     return;
   }
   if (!lingering_ && handlers_.on_bytes) {
-    // A copy of the handler, since it may close the stream and so drop it.
+    // Copied because the handler may close the stream, which destroys it.
     const auto on_bytes = handlers_.on_bytes;
     on_bytes(std::string_view(buf.data(), n));
   }
@@ -151,7 +151,7 @@
   Code ec;
   const size_t n = socket_.write_some(asio::buffer(unsent_), ec);
   if (ec && ec != asio::error::would_block) {
-    // Told later, so that the writer isn't called from within its own call.
+    // Posted so that on_end is not called from within Write.
     loop_->Post([self = shared_from_this()] { self->End(StreamEnd::kBroken); });
     return;
   }
@@ -191,8 +191,9 @@
   if (unsent_.empty()) Linger();
 }
 
-// Nobody is told of anything any more. Kept until the end of the lingering, the
-// handlers and their owner would outlive a loop that stops meanwhile.
+// No handler is called from here on. If handlers were kept until the end of the
+// lingering, they and their owner would outlive a loop that stops in the
+// meantime.
 void ByteStream::Linger() {
   lingering_ = true;
   DropLater(loop_, &handlers_);
--- a/packages/edge/src/early_requests.cc
+++ b/packages/edge/src/early_requests.cc
@@ -6,13 +6,14 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// From the start: five times what a start takes while the store is well.
+// Counted from the start of listening; five times the duration of a normal
+// start.
 constexpr Millis kLongestHold{250};
 
-// Requests kept at most; a start meets some dozens.
+// Limit of held requests; a normal start holds some dozens.
 constexpr size_t kMostHeld = 256;
 
-// Takes the wait off what the caller said it would wait.
+// Reduces the deadline header by the time the request was held.
 void TakeOff(std::vector<Header>* headers, std::string_view name,
              Millis waited) {
   for (auto& it : *headers) {
--- a/packages/edge/src/http_channel.cc
+++ b/packages/edge/src/http_channel.cc
@@ -44,7 +44,8 @@
   }
 }
 
-// Reads on; true if a reply that isn't the one awaited was passed over.
+// Parses buffered bytes. Returns true if a reply to another request was
+// skipped.
 bool HttpChannel::TakeReply() {
   const ReadState state = reader_->Read(&in_);
   if (state == ReadState::kMore) return false;
--- a/packages/edge/src/http_message.cc
+++ b/packages/edge/src/http_message.cc
@@ -27,7 +27,8 @@
   return {it.data(), it.size()};
 }
 
-// A reply's head may be longer than a request's; servers are ours.
+// Replies may have larger headers than requests, since backend servers are
+// trusted.
 constexpr size_t kReplyHeaderBytes = 65536;
 
 template <class Parser>
--- a/packages/edge/src/http_session.cc
+++ b/packages/edge/src/http_session.cc
@@ -12,11 +12,11 @@
 
 constexpr int kBacklog = 512;
 
-// A caller may send its next request early; more than this before its answer
-// is not read, so that a flood ends the connection and not the process.
+// A caller may pipeline requests. More bytes than this before the current reply
+// end the connection, which bounds memory.
 constexpr size_t kMostPipelined = 1 << 20;
 
-// After a failed accept (no descriptors left) the next try waits.
+// Delay before the next accept after a failure, such as no free descriptors.
 constexpr Millis kAcceptPause{50};
 
 }  // namespace
@@ -88,7 +88,7 @@
   HttpRequest request = reader_->Take();
   reader_.reset();
   if (is_first_) round_trip_ = stream_->RoundTrip();
-  // Whoever connects for a request has waited for that as well.
+  // On a new connection the caller has also waited for the TCP handshake.
   if (round_trip_) request.on_the_way = *round_trip_ * (is_first_ ? 2 : 1);
   is_first_ = false;
   busy_ = true;
@@ -97,8 +97,8 @@
   policy_->on_request(shared_from_this(), std::move(request));
 }
 
-// Answers what is no request within bounds, and ends: where the next request
-// would begin is unknown.
+// Answers a malformed, oversized or incomplete request and closes the
+// connection, since the start of the next request is unknown.
 void HttpSession::Refuse(ReadState state) {
   HttpReply reply;
   reply.status = state == ReadState::kMore           ? 408
@@ -121,7 +121,7 @@
   }
   ArmIdle();
   if (!in_.empty()) {
-    // Later, so that a long row of early requests doesn't nest.
+    // Posted, so that a long series of pipelined requests does not recurse.
     loop_->Post([self = shared_from_this()] {
       if (!self->busy_ && self->stream_->IsOpen()) self->ReadOn();
     });
@@ -185,7 +185,8 @@
 }
 
 void HttpListener::Begin(tcp::socket socket) {
-  // The session is named weakly in its own end, or it would keep itself.
+  // Weak reference: a strong one in its own callback would keep the session
+  // alive.
   auto holder = std::make_shared<std::weak_ptr<HttpSession>>();
   auto session = std::make_shared<HttpSession>(
       loop_, std::move(socket), &policy_, [this, holder] {
@@ -196,8 +197,8 @@
   session->Start();
 }
 
-// Those who have connected already are taken first: closing the door on them
-// would break off what they have sent.
+// Accepts connections from the listen queue first, since closing the listener
+// would reset them together with the requests already sent.
 void HttpListener::StopAccepting() {
   if (!acceptor_.is_open()) return;
   boost::system::error_code ec;
--- a/packages/edge/src/loop.cc
+++ b/packages/edge/src/loop.cc
@@ -5,11 +5,11 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// The longest wait without a timer, so that a stop from another thread that
-// raced the wait is seen.
+// Upper bound of a wait, so that a Stop from another thread that races with the
+// start of the wait is noticed.
 constexpr Millis kLongestWait{1000};
 
-// Handlers that run between two looks at the clock.
+// Maximum handlers run between two readings of the clock.
 constexpr int kMostInRound = 64;
 
 }  // namespace
@@ -44,14 +44,14 @@
 
 void Loop::Run() {
   while (!stopped_) {
-    // The round that ends here began at now().
+    // The iteration that ends here began at now().
     const Millis began = now();
     const Millis ended = SteadyNow();
     at_work_ += ended - began;
     const Millis wait = UntilNext(ended);
     now_read_ = false;
     if (wait > Millis(0)) io_.run_one_for(wait.ToMicros());
-    // Bounded, so that a flood of work can't keep timers from their turn.
+    // Bounded, so that a flood of I/O cannot starve timers.
     for (int i = 0; i < kMostInRound && io_.poll_one() > 0; ++i) {
     }
     RunDue();
--- a/packages/edge/src/peer_sender.cc
+++ b/packages/edge/src/peer_sender.cc
@@ -23,14 +23,17 @@
 constexpr Millis kConnectTimeout{150};
 constexpr Millis kAvoidance{1500};
 constexpr Millis kIdleTime{20000};
-// How long after an answer is due a peer that answers nobody is doubted. Under
-// overload a sender answers few, and those late: with 60 ms it was doubted in
-// just the seconds in which its one queue is worth most.
+// How long after its due time a missing answer starts the backoff of a peer
+// that answers no other query either. Under overload a sender answers few
+// queries, and those late: 60 ms put it in backoff just when its single queue
+// is most useful.
 constexpr Millis kSilence{300};
-// After this it is a sign that its data centre, or this one, is cut off.
+// A missing answer this long after its due time starts probes, since the peer's
+// data centre or this one may be cut off.
 constexpr Millis kLateAnswer{20};
 
-// What a sender said of its work holds for so long: then it is tried again.
+// How long a sender's utilisation report is used; after that the sender is
+// tried again.
 constexpr Millis kBusyHolds{1000};
 
 constexpr size_t kAnswerBytes = 16 << 20;
@@ -44,7 +47,7 @@
   return n;
 }
 
-// Answers may be this late, as shares of kLagShares, after their clock.
+// Formats the lag quantiles, one for each of kLagQuantiles.
 std::string JoinLags(const engine::LagBounds& lags) {
   std::string text;
   for (const auto& it : lags) {
@@ -157,7 +160,8 @@
   OnEnd on_end;
 };
 
-// Channels and their streams hold each other until one is closed.
+// Closes all channels: a channel and its stream hold references to each other
+// until one is closed.
 PeerSender::~PeerSender() {
   for (const auto& [id, channels] : idle_) {
     for (const auto& it : channels) it->Close();
@@ -182,7 +186,11 @@
   const Millis before = health.avoided_until;
   engine::NoteRelay(&health, share, loop_->now());
   if (health.avoided_until > before) {
-    Log(Part::kMembers).info("parts from {} lack: asks itself", where.text);
+    Log(Part::kMembers)
+        .info(
+            "relays in data centre {} miss too many parts: querying its shards "
+            "directly",
+            where.text);
   }
 }
 
@@ -207,8 +215,8 @@
   for (const auto& it : relays_) {
     if (TakesParts(it, where)) there.push_back(&it);
   }
-  // Senders stand in order of rank, and the first of them knows most of its
-  // data centre's servers; others are all alike.
+  // Senders are sorted by rank, and the first knows the most servers of its
+  // data centre; other relays are equal.
   if (senders_.empty()) return there[++turn_ % there.size()];
   const auto idle = std::find_if(there.begin(), there.end(), [&](auto* it) {
     return BusyShare(it->id) < engine::kBusySender;
@@ -229,7 +237,7 @@
   if (as_first < first.size()) return {SenderRole::kFirst, as_first};
   const size_t among_all = place_in(senders_);
   if (among_all == senders_.size()) return {};
-  // Those before it that are first don't count among the stand-ins.
+  // Primary senders before it do not count among the standbys.
   const auto end = senders_.begin() + static_cast<std::ptrdiff_t>(among_all);
   const auto before = std::count_if(senders_.begin(), end, [&](auto& it) {
     return std::any_of(first.begin(), first.end(),
@@ -312,9 +320,9 @@
   };
 }
 
-// A peer that stands still or is cut off keeps all that it was handed until the
-// callers' time is up. One that has answered nobody since a query that is due
-// gets no more of them.
+// A peer that is stalled or cut off would keep all queries forwarded to it
+// until their callers' deadlines. It gets no further ones if it has answered
+// none since a query that is overdue.
 void PeerSender::SuspectLater(const std::shared_ptr<Open>& open, Millis due) {
   const Millis sent = loop_->now();
   const std::weak_ptr<Open> weak = open;
@@ -322,7 +330,7 @@
     const auto it = weak.lock();
     if (!it || !it->on_end || heard_[it->peer.id] > sent) return;
     if (own_ && it->peer.data_centre == own_->data_centre) {
-      // It may wait for answers from elsewhere itself.
+      // The peer may itself be waiting for another data centre.
       prober_->SuspectAll(sent);
     } else {
       prober_->Suspect(it->peer.data_centre, sent);
@@ -331,7 +339,11 @@
   loop_->At(sent + Max(due, Millis(0)) + kSilence, [this, weak, sent] {
     const auto it = weak.lock();
     if (!it || !it->on_end || heard_[it->peer.id] > sent) return;
-    Log(Part::kMembers).info("peer {} is silent", it->peer.id.text);
+    Log(Part::kMembers)
+        .info(
+            "peer {} has not answered any query since an overdue one: backing "
+            "off",
+            it->peer.id.text);
     Avoid(it->peer.id);
   });
 }
@@ -369,7 +381,9 @@
   loop_->Cancel(std::exchange(open->timer, 0));
   const bool lost = end != HandedEnd::kAnswer && reply.status == 0;
   if (lost) {
-    Log(Part::kMembers).info("peer {} lost a query", open->peer.id.text);
+    Log(Part::kMembers)
+        .info("peer {} did not answer a query: backing off",
+              open->peer.id.text);
     Avoid(open->peer.id);
     prober_->NoteFailed(open->peer.data_centre);
     open->channel->Close();
--- a/packages/edge/src/prober.cc
+++ b/packages/edge/src/prober.cc
@@ -10,10 +10,11 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// Instances and servers that one probe tries. One alone may have just ended.
+// Maximum instances, and servers, that one probe connects to; a single one may
+// just have stopped.
 constexpr size_t kMostTried = 3;
 
-// Servers are tried only if the instances have said nothing for this long: a
+// Servers are probed only if the instances have not replied for this long: a
 // connection takes 1 to 6 ms of a server's slot.
 constexpr Millis kServersAfter{90};
 
@@ -28,7 +29,7 @@
     }
   }
   for (auto& [where, there] : addresses) {
-    // One without instances in reach keeps those that were.
+    // A data centre without reachable instances keeps its last known ones.
     if (!there.empty()) places_[where].peers = std::move(there);
   }
 }
@@ -37,7 +38,7 @@
   if (where == own_) return;
   heard_elsewhere_ = loop_->now();
   if (engine::RecordContact(&places_[where].reach, loop_->now())) {
-    Log(Part::kMembers).info("data centre {} is back", where.text);
+    Log(Part::kMembers).info("data centre {} is reachable again", where.text);
     NotifyIfIsolated();
   }
 }
@@ -108,7 +109,7 @@
   const auto end = engine::EndProbe(&reach, loop_->now());
   if (end == engine::ProbeEnd::kThere) return;
   if (reach.lost && !was_lost) {
-    Log(Part::kMembers).warn("data centre {} can't be reached", where.text);
+    Log(Part::kMembers).warn("data centre {} is unreachable", where.text);
     NotifyIfIsolated();
   }
   reach.probing = true;
--- a/packages/edge/src/query_answer.cc
+++ b/packages/edge/src/query_answer.cc
@@ -1,4 +1,4 @@
-// How a request ends: its answer, its failure, its caller leaving.
+// How a request ends: answer, failure, cancellation.
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
@@ -12,15 +12,17 @@
 
 constexpr double kSecond = 1000;
 
-// An answer that the clock gave comes this much later at most.
+// Tolerance for answers sent by the timer of the answer time.
 constexpr Millis kClockSlack{5};
 
-// A data centre that is cut off serves nobody until the balancer has sent its
-// callers elsewhere, which takes two of its health checks, each second one.
-// Callers that came back after 50 ms were refused again and were lost.
+// Retry-After of a data centre that is cut off. It cannot serve callers until
+// the load balancer has moved them elsewhere, which takes two health checks one
+// second apart. Callers told to return after 50 ms were refused again and gave
+// up.
 constexpr Millis kBalancerNotices{2000};
 
-// An evacuation ends when an operator says so, seconds from now at least.
+// Retry-After while evacuated: an operator ends an evacuation, which takes
+// seconds at least.
 constexpr Millis kEvacuationLasts{2000};
 
 }  // namespace
@@ -102,7 +104,7 @@
   return reply;
 }
 
-// When it is worth coming back after no server could be reached.
+// Retry-After when no server was available.
 Millis QueryRun::BackAfterNoServer() const {
   const auto& backends = *context_->backends;
   if (backends.IsCutOff()) return kBalancerNotices;
@@ -114,8 +116,8 @@
 
 void QueryRun::Fail(QueryFault fault) {
   if (fault == QueryFault::kNoServer) retry_after_ = BackAfterNoServer();
-  // A server's own answer to a plain request is the caller's answer, whatever
-  // it says.
+  // For a plain request the server's own reply is passed to the caller,
+  // whatever its status.
   if (!route_->gather && parts_[0].failure &&
       fault == QueryFault::kServersFailed) {
     HttpReply reply = std::move(*parts_[0].failure);
@@ -132,7 +134,8 @@
 
 std::string QueryRun::RefusalText() const {
   return fmt::format(
-      "room: queue {:.0f} ms, service {:.0f} ms, target in {:.0f} ms",
+      "capacity: queue wait {:.0f} ms, service time {:.0f} ms, target in "
+      "{:.0f} ms",
       refused_by_.wait.count, refused_by_.service.count,
       (clocks_.answer_at - began_).count);
 }
@@ -150,7 +153,7 @@
       const auto& last = it.ran_on.back().text;
       text += "@" + (last.empty() ? "a-peer" : last);
     }
-    if (it.waiting) text += "(waits)";
+    if (it.waiting) text += "(queued)";
     if (it.failed) text += "(failed)";
   }
   return text;
--- a/packages/edge/src/query_relay.cc
+++ b/packages/edge/src/query_relay.cc
@@ -1,4 +1,4 @@
-// Parts of a query that a peer in another data centre asks for.
+// Parts of a query that a relay in another data centre queries.
 #include <algorithm>
 #include <utility>
 
@@ -8,10 +8,12 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// With less time than this to the answer the hop isn't worth its while.
+// With less time than this to the answer, forwarding is not worth the extra
+// hop.
 constexpr Millis kLeastRelayTime{12};
 
-// A peer that hasn't answered this long after the query's own clock is lost.
+// A peer that has not answered this long after the query's own deadline is
+// given up.
 constexpr Millis kRelaySlack{20};
 
 }  // namespace
@@ -80,8 +82,8 @@
   NoteHop(reply, began_, &context_->relay_lag);
   if (done_) return;
   const bool begun = end != HandedEnd::kNotBegun;
-  // The peer may have sent each part to a server of its choice, or to as many
-  // as are allowed if it doesn't say.
+  // The peer may have sent each part to one server of its choice, or, if it did
+  // not answer, to as many as the route allows.
   if (begun) {
     const size_t each =
         end == HandedEnd::kAnswer ? 1 : static_cast<size_t>(route_->attempts);
@@ -99,7 +101,7 @@
   if (taken) KeepRest(shards, peer, reply);
   for (const size_t i : shards) {
     if (parts_[i].in || parts_[i].relayed || done_) continue;
-    // What servers may have run is repeated by asking again.
+    // Querying again what servers may have run is a retry.
     if (ran) {
       RetryPart(i, true);
     } else {
@@ -129,7 +131,8 @@
   }
 }
 
-// Takes the parts that a peer's answer names; false if it can't be used.
+// Takes the parts that a peer's answer names; false if the answer is not
+// usable.
 bool QueryRun::TakeRelayed(const std::vector<size_t>& shards,
                            const HttpReply& reply) {
   const auto& names = *context_->names;
--- a/packages/edge/src/query_rest.cc
+++ b/packages/edge/src/query_rest.cc
@@ -1,11 +1,10 @@
-// What a peer hadn't got yet when its answer was due, and the owner of the
-// query turns out to need.
+// Requests for the parts that a peer had not received when its answer was due.
 //
-// A peer answers by the owner's target with the parts that are in. Those that
-// are late only, at servers that are slow or pause, went on running, and yet
-// the owner could but ask other servers again, on the budget, or fail: with
-// slow servers it failed with nine of ten parts in and most of its caller's
-// time left, the caller came back, and all parts were asked once more.
+// A peer answers by the owner's target with the parts it has received. Parts
+// that were only late, at slow or pausing servers, kept running there, yet the
+// owner could only query other servers on its budget, or fail. With slow
+// servers, queries failed with nine of ten parts received and most of the
+// caller's time left; the caller retried and all parts were queried again.
 #include <algorithm>
 #include <utility>
 
@@ -44,8 +43,8 @@
   if (resting_ && !done_) StopParts(false);
 }
 
-// Until the owner's own answer is due these parts count as open: others may
-// suffice.
+// These parts count as open until the owner's own answer is due, since others
+// may suffice.
 void QueryRun::KeepRest(const std::vector<size_t>& shards,
                         const engine::Peer& peer, const HttpReply& reply) {
   const auto open = SplitPlaces(FindHeader(reply.headers, kShardsOpenHeader));
--- a/packages/edge/src/query_retry.cc
+++ b/packages/edge/src/query_retry.cc
@@ -1,5 +1,4 @@
-// Second attempts of a query: after a failure, instead of a late one, and the
-// shards that were kept back.
+// Second attempts of a query: retries, hedges and deferred shards.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -10,8 +9,8 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// Refusals of servers that one part takes before it counts as failed: each one
-// costs the budget and tells that the service is full.
+// A part fails after this many refusals by servers: each costs budget and shows
+// that the service is full.
 constexpr int kMostRefusals = 3;
 
 }  // namespace
@@ -24,7 +23,8 @@
     part.failed = true;
     return;
   }
-  // What was never sent costs the servers nothing and is no extra attempt.
+  // A request that was never sent costs the servers nothing and is no extra
+  // attempt.
   const bool extra = ran || part.refusals > 0;
   const bool needed =
       !Uses().needed_retries ||
@@ -52,7 +52,8 @@
   return part.ran_on.size() < static_cast<size_t>(route_->attempts);
 }
 
-// Of the parts in hand; a peer has some of a query's.
+// Number of parts needed, of the parts of this query; a partial query for a
+// peer has only some of the route's shards.
 size_t QueryRun::NeededOfAll() const {
   if (!route_->gather) return 1;
   const double share = route_->gather->least_share;
@@ -60,8 +61,8 @@
                          : engine::PartsNeededOfSome(share, parts_.size());
 }
 
-// Late parts: those kept back are asked in their place, and, as far as the
-// budget goes, another server than the one that is late.
+// Handles late parts: queries deferred shards in their place and, as the budget
+// allows, a second server for the late ones.
 void QueryRun::HedgeParts() {
   std::vector<engine::PartView> missing;
   for (size_t i = 0; i < parts_.size(); ++i) {
@@ -69,7 +70,7 @@
     if (part.IsOver()) continue;
     engine::PartView view;
     view.place = i;
-    // A peer that has it looks after it.
+    // The relay that queries it also hedges it.
     view.open = part.relayed ? 0 : static_cast<int>(part.open.size());
     view.since = part.open.empty() ? kNever : part.open[0].since;
     view.deferred = part.deferred;
@@ -91,8 +92,8 @@
   const Millis now = context_->loop->now();
   for (const auto& part : parts_) {
     if (part.IsOver() || !MayHedge(part)) continue;
-    // One that is due already found no server or no budget: it looks again
-    // after a quarter of the time.
+    // A hedge that is due but found no server or no budget is tried again after
+    // a quarter of the hedge delay.
     Millis at = part.open[0].since + pace_->hedge_after;
     if (at <= now) at = now + Max(pace_->hedge_after * 0.25, Millis(2));
     next = Min(next, at);
@@ -100,8 +101,8 @@
   return next;
 }
 
-// Asks parts that were kept back once the least share needs them: others have
-// failed, or the time at which an answer is worth most has come.
+// Queries deferred shards once they are needed for the minimum coverage: other
+// parts have failed, or the target has passed.
 void QueryRun::StartKeptBack() {
   const auto progress = Progress();
   size_t asked = 0;
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -11,12 +11,12 @@
 using engine::GatherStep;
 using engine::Repeat;
 
-// A caller that has waited for longer than a new connection takes has been here
-// before.
+// A caller that has waited for longer than a connection setup takes is taken to
+// be retrying.
 constexpr Millis kReturningAfter{30};
 
-// A shard expected to take more than this share of the time to the target is
-// kept back while the least share goes without it.
+// A shard expected to take more than this fraction of the time to the target is
+// deferred if the minimum coverage can be reached without it.
 constexpr double kDeferShare = 0.6;
 constexpr double kNeverDefer = 1e9;
 
@@ -37,7 +37,7 @@
       began_(context->loop->now()) {
   const auto& names = *context_->names;
   for (auto& it : EndToEnd(request_.headers)) {
-    // What this instance says itself is never taken from a caller.
+    // These headers are set by this instance and never taken from a caller.
     if (SameName(it.name, names.deadline)) continue;
     if (SameName(it.name, names.expect_instance)) continue;
     if (SameName(it.name, names.stamp)) continue;
@@ -89,12 +89,12 @@
   }
   const auto& group = route_->gather ? route_->gather->shards : services;
   budget_of_ = *std::min_element(group.begin(), group.end());
-  // A part of a query was counted where the whole of it is.
+  // A partial query is counted by the instance that owns the query.
   if (places_.empty()) context_->backends->CountRequest(budget_of_);
   if (StartParts()) Check();
 }
 
-// Starts what is to be asked now, or answers that nothing was.
+// Starts the immediate parts, or answers at once if the query is refused.
 bool QueryRun::StartParts() {
   std::vector<std::optional<engine::ShardOutlook>> outlooks;
   for (const auto& it : parts_) {
@@ -112,7 +112,7 @@
     return false;
   }
   behind_ = admission.behind;
-  // A peer that asked for parts wants all of them.
+  // A peer that forwarded parts needs all of them.
   const bool keeps_back = Uses().kept_back_shards && places_.empty();
   const auto plan = engine::PlanFanOut(outlooks, needed, to_target,
                                        keeps_back ? kDeferShare : kNeverDefer);
@@ -147,7 +147,7 @@
       if (backends.HasServerInReach(it.service, self->route_->homes)) {
         return false;
       }
-      // Its last server has gone while it waited.
+      // The last available server was lost while the part waited.
       it.waiting.reset();
       it.failed = true;
       self->Check();
@@ -161,8 +161,8 @@
       context_->backends->Enqueue(parts_[i].service, std::move(waiting));
 }
 
-// Starts one attempt of the part; false if no server takes it, or, for an
-// extra one, if the budget has no room.
+// Starts one attempt of the part. Returns false if no server takes it or, for
+// an extra attempt, the budget is used up.
 bool QueryRun::TryPart(size_t i, Extra extra) {
   auto& part = parts_[i];
   auto& backends = *context_->backends;
@@ -227,7 +227,8 @@
   return ToText(sent);
 }
 
-// A reply with another request's id is a late or second answer to that one.
+// A reply with another request's id is a late or duplicate reply to that
+// request.
 bool QueryRun::IsOurs(const HttpReply& reply) const {
   const auto id = FindHeader(reply.headers, context_->names->request_id);
   return id.empty() || id == request_id_;
@@ -305,7 +306,7 @@
   if (places_.empty()) {
     progress.needed = NeededOfAll();
   } else {
-    // What a peer lacks, or what is left that may come.
+    // What the peer needs, or as many parts as can still arrive.
     progress.needed = std::clamp<size_t>(
         wanted_, 1, std::max<size_t>(progress.shards - progress.failed, 1));
   }
@@ -347,8 +348,8 @@
       context_->loop->At(next, [self = shared_from_this(), by_answer_clock] {
         self->timer_ = 0;
         if (self->done_) return;
-        // Only what waited for the clock tells how late the clock is heard; an
-        // answer that came together after it is late for want of parts.
+        // Only answers that waited for this timer measure the timer's lag; an
+        // answer completed after it is late because of its parts.
         self->by_clock_ = by_answer_clock;
         self->HedgeParts();
         self->Check();
--- a/packages/edge/src/request_log.cc
+++ b/packages/edge/src/request_log.cc
@@ -10,7 +10,8 @@
   const uint64_t before = budget->left_out;
   if (!TakeLine(budget, now)) return false;
   if (before > 0) {
-    Log(Part::kRoute).warn("{} lines of {} requests left out", before, what);
+    Log(Part::kRoute)
+        .warn("{} log lines of {} requests suppressed", before, what);
     budget->left_out = 0;
   }
   return true;
@@ -19,7 +20,7 @@
 void RequestLog::Refused(std::string_view request_id, int status,
                          std::string_view why, Millis now) {
   if (!Take(&refused_, "refused", now)) return;
-  Log(Part::kFront).info("request {}: {} {}", request_id, status, why);
+  Log(Part::kFront).info("request {} refused: {} {}", request_id, status, why);
 }
 
 void RequestLog::Ended(std::string_view request_id, const RouteId& route,
@@ -35,11 +36,12 @@
   Log(Part::kRoute)
       .log(level,
            "request {} route {} config {}: {} {} after {:.1f} ms, {} of {} "
-           "shards, {} kept back, {} extra, {}lacks {}, ran {}",
+           "shards received, {} deferred, {} extra attempts, {}missing {}, ran "
+           "{}",
            request_id, route.text, config_version, outcome.reply.status,
            FaultName(outcome.fault), outcome.took.count, outcome.shards_in,
            outcome.shards, outcome.kept_back, outcome.extras,
-           outcome.behind ? "waited behind, " : "",
+           outcome.behind ? "deprioritized, " : "",
            outcome.lacking.empty() ? "none" : outcome.lacking,
            outcome.ran ? "maybe" : "no");
 }
--- a/packages/edge/src/traffic_handover.cc
+++ b/packages/edge/src/traffic_handover.cc
@@ -1,4 +1,5 @@
-// Queries that this instance hands to peers, and those that peers hand to it.
+// Queries that this instance forwards to peers, and queries that peers forward
+// to it.
 #include <spdlog/fmt/fmt.h>
 
 #include <algorithm>
@@ -9,10 +10,11 @@
 namespace hibiscuspick::edge {
 namespace {
 
-// A peer answers by its end; later it is lost.
+// Grace after the query's deadline before a peer's answer is given up.
 constexpr Millis kHandedSlack{100};
 
-// This instance holds nothing that fits what the peer asks by.
+// Refuses a peer's query because configuration version, shards or token do not
+// match.
 void AnswerOtherVersion(HttpSession* session) {
   HttpReply reply;
   reply.status = kOtherVersion;
@@ -62,7 +64,8 @@
   add(kTookHeader, fmt::format("{:.2f}", outcome.took.count));
   add(kBusyHeader, fmt::format("{:.2f}", peers_.own_busy()));
   if (query && !outcome.open.empty()) {
-    // A number besides the id, since a caller may use an id once more.
+    // The sequence number makes the token unique, since callers may reuse an
+    // id.
     const std::string token = fmt::format("{}-{}", request_id, ++last_rest_);
     add(kShardsOpenHeader, JoinPlaces(outcome.open));
     add(kRestHeader, token);
@@ -77,7 +80,7 @@
   session->Reply(answer);
 }
 
-// A peer asks for what lacked in an answer.
+// Handles a peer's request for parts missing from an earlier answer.
 void TrafficServer::OnRestAsked(const std::shared_ptr<HttpSession>& session,
                                 const HandedQuery& handed) {
   const auto found = rests_.extract(handed.rest.token);
@@ -108,7 +111,8 @@
   return held.places;
 }
 
-// Hands a fan-out to a peer that sends it better; false if this instance does.
+// Forwards a fan-out to a better-placed peer; false if this instance should run
+// it.
 bool TrafficServer::HandOver(const std::shared_ptr<HttpSession>& session,
                              const HttpRequest& request,
                              const engine::Route& route) {
@@ -120,7 +124,7 @@
   query.clocks = QueryRun::ClocksFor(context_, route, PaceOf(route), request);
   const bool away =
       peer->data_centre != settings_.backends.choice.own_data_centre;
-  // The way to the peer and back and the work on both ends, as measured.
+  // Round trip to the peer and processing on both ends, as measured.
   auto* lag = away ? &far_lag_ : &near_lag_;
   query.clocks.answer_in = query.clocks.answer_in - lag->usual();
   query.clocks.lags = lag->bounds;
@@ -130,7 +134,7 @@
   sent.headers = EndToEnd(request.headers);
   sent.body = request.body;
   AddHanded(query, &sent.headers);
-  // Noted before it is sent, since its end may come at once.
+  // Stored before the send, which may end immediately.
   handed_out_[session.get()] = {session, request, {}};
   session->set_on_gone([this, gone = session.get()] {
     auto node = handed_out_.extract(gone);
@@ -176,8 +180,9 @@
   ServeHere(session, std::move(request), route);
 }
 
-// Queries in hand, and those that a peer has: one that stands still would keep
-// them beyond the end of this process, and their callers got no answer at all.
+// Answers all running queries and those forwarded to peers. A stalled peer
+// would hold them beyond the end of this process, and their callers would get
+// no answer.
 void TrafficServer::AnswerWhatIsLeft() {
   const auto left = running_;
   for (const auto& it : left) it->GiveUp();
--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -18,16 +18,16 @@
 
 constexpr Millis kStopCheck{50};
 
-// How often the loop's lateness is looked at; a wake-up costs some
+// Interval at which the loop's lag is measured; a wake-up costs some
 // microseconds.
 constexpr Millis kDelayInterval{500};
 
-// A caller refused before anything ran may come back at once: another instance
-// gets it.
+// Retry-After in seconds for requests refused before anything ran; the load
+// balancer can send the retry to another instance.
 constexpr std::string_view kSoon = "0.05";
 
-// What a peer says of a cut holds for so long; it says so in each answer, by
-// kNewsWait at the latest.
+// How long a peer's report of a cut is used; the peer repeats it in each state
+// update, at the latest after kPeerPollWait.
 constexpr Millis kToldUseless{2500};
 
 }  // namespace
@@ -95,7 +95,7 @@
   SessionPolicy policy;
   policy.limits = [] {
     engine::CallerLimits limits;
-    // Peers have checked what came from callers, and add a little.
+    // Peers have checked the caller's headers and add a few of their own.
     constexpr size_t kMore = 4096;
     limits.header_bytes += kMore;
     limits.idle_timeout = Millis(60000);
@@ -112,8 +112,10 @@
   const bool useless = IsUseless();
   if (useless != useless_) {
     Log(Part::kFront)
-        .warn(useless ? "cut off from the other data centres: not ready"
-                      : "other data centres are back: ready");
+        .warn(useless
+                  ? "cut off from the other data centres: reporting not ready"
+                  : "no longer cut off from the other data centres: reporting "
+                    "ready");
   }
   useless_ = useless;
   return config_ && has_servers_ && !stopping_ && !useless_;
@@ -188,7 +190,7 @@
     std::shared_ptr<const engine::TrafficConfig> config) {
   if (config_ && config->version < config_->version) {
     Log(Part::kConfig)
-        .warn("configuration {} is older than {} in force, passed over",
+        .warn("configuration {} ignored: older than {} in force",
               config->version, config_->version);
     return;
   }
@@ -218,13 +220,13 @@
 void TrafficServer::LookIfCutOff() {
   if (!settings_.backends.mechanisms.told_cut_off) return;
   told_useless_ = loop_->now();
-  // As if a question to each had been open for long enough.
+  // As if a request to each data centre had been unanswered for this long.
   prober_.SuspectAll(loop_->now() - engine::kQuiet);
 }
 
-// Connections and the slack of a budget are shared by those who send: all
-// instances, or for shards the senders of fan-outs. The others keep a little,
-// for the moments in which no sender is within reach.
+// Connections and budget slack are divided among the instances that send: all
+// instances, or for shards the fan-out senders. The others keep a small share
+// for times in which no sender is available.
 void TrafficServer::ShareOut() {
   const engine::SharePlan plan{place_.instances, peers_.senders().size(),
                                engine::FirstSenders(peers_.senders()).size()};
@@ -374,7 +376,8 @@
   stopping_ = true;
   stop_began_ = loop_->now();
   Log(Part::kDaemon)
-      .info("stops: not ready, {} requests in hand", running_.size());
+      .info("stopping: reporting not ready, {} queries running",
+            running_.size());
   StopStep(done);
 }
 
@@ -384,13 +387,13 @@
   const bool quiet =
       age >= settings_.stop_refuse && running_.empty() && callers_.busy() == 0;
   if (quiet && callers_.IsAccepting()) {
-    // Connections taken until the very end would break off unanswered with it.
-    // What they send is read until the next look.
+    // Accepting until the very end would break connections unanswered. What
+    // they send is read until the next check.
     callers_.StopAccepting();
   } else if (quiet) {
     callers_.CloseIdle();
   }
-  // A moment longer, so that the last answers are read before the end.
+  // Time for the last replies to be read before the process ends.
   constexpr Millis kLastReads{400};
   if (age >= settings_.stop_end ||
       (quiet && age >= settings_.stop_refuse + kLastReads)) {
