--- a/packages/edge/tests/bad_requests_test.cc
+++ b/packages/edge/tests/bad_requests_test.cc
@@ -34,28 +34,27 @@
      std::string(kHead) +
          "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
      400},
-    {"bare line ends", "GET /p/x HTTP/1.1\nHost: h\n\n", 400},
-    {"a space in a name", std::string(kHead) + "Content-Length : 3\r\n\r\nabc",
-     400},
-    {"a folded header", std::string(kHead) + "A: b\r\n c\r\nX Y: z\r\n\r\n",
-     400},
-    {"no HTTP", "hello\r\n\r\n", 400},
-    {"a length that is none", std::string(kHead) + "Content-Length: -1\r\n\r\n",
-     400},
-    {"a chunk that is none",
+    {"bare LF line ends", "GET /p/x HTTP/1.1\nHost: h\n\n", 400},
+    {"space in a header name",
+     std::string(kHead) + "Content-Length : 3\r\n\r\nabc", 400},
+    {"folded header", std::string(kHead) + "A: b\r\n c\r\nX Y: z\r\n\r\n", 400},
+    {"not HTTP", "hello\r\n\r\n", 400},
+    {"invalid length", std::string(kHead) + "Content-Length: -1\r\n\r\n", 400},
+    {"invalid chunk size",
      std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-    {"a header too long",
+    {"header too long",
      std::string(kHead) + "A: " + std::string(20000, 'a') + "\r\n\r\n", 431},
-    {"a body too long", std::string(kHead) + "Content-Length: 300000\r\n\r\n",
+    {"body too long", std::string(kHead) + "Content-Length: 300000\r\n\r\n",
      413},
-    {"a chunked body too long",
+    {"chunked body too long",
      std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n50000\r\n" +
          std::string(0x50000, 'a') + "\r\n",
      413},
 };
 
-// Requests that can be read in two ways are how one caller's bytes become
-// another's request at a server. None of them may reach one.
+// Failure: the instance and a server parse an ambiguous request differently, so
+// that one caller's bytes become another's request (request smuggling). None
+// may reach a server.
 BOOST_DATA_TEST_CASE(RefusedBeforeAnyServer, bdata::make(kBad), row) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
@@ -71,7 +70,7 @@
   BOOST_TEST(server.requests().empty());
 }
 
-// Callers may send the next request before the answer to the last.
+// Callers may send the next request before the reply to the previous one.
 BOOST_AUTO_TEST_CASE(EarlyRequestsAreAnsweredInOrder) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
@@ -91,7 +90,7 @@
   BOOST_TEST(first < second);
 }
 
-// A body in chunks reaches the server with the same bytes.
+// A chunked body reaches the server with the same bytes.
 BOOST_AUTO_TEST_CASE(ChunkedBodiesArePassedOn) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
--- a/packages/edge/tests/cold_servers_test.cc
+++ b/packages/edge/tests/cold_servers_test.cc
@@ -19,7 +19,7 @@
   };
 }
 
-// One route, and a service whose cold servers take eight requests a second.
+// One route to a service whose cold servers accept eight requests per window.
 class Bounded : public TrafficFixture {
  public:
   explicit Bounded(const RawServer::Script& script) {
@@ -31,8 +31,9 @@
     service.cold_per_second = 10;
     service.warmup = Millis(800);
   }
-  // 20 requests at once, of which those that don't fit wait: how many are sent
-  // once `expected` are, or within a window of the bound, and a little later.
+  // Sends 20 requests at once, of which those over the limit are queued.
+  // Returns how many reached the server once `expected` have, or within a
+  // window of the limit, plus a short time.
   size_t SentAtOnce(size_t expected) {
     const size_t before = servers()[0]->requests().size();
     const auto sent = [&] { return servers()[0]->requests().size() - before; };
@@ -50,16 +51,16 @@
   }
 };
 
-// No more than the bound, and not much less: a starved machine may not get to
-// all of them.
+// Checks the limit, and that not much less was sent: a starved machine may not
+// get to all of them.
 void CheckBound(Bounded* fixture, size_t bound) {
   const size_t sent = fixture->SentAtOnce(bound);
   BOOST_TEST(sent <= bound);
   BOOST_TEST(sent >= bound / 2);
 }
 
-// Failure: a server that has just started gets as much as a warm one, and
-// breaks.
+// Failure: a server that has just started gets as many requests as a warm one
+// and breaks down.
 BOOST_AUTO_TEST_CASE(ColdServersGetNoMoreThanTheBound) {
   Bounded fixture(Answers());
   fixture.AddServer("other", Answers());
@@ -68,16 +69,16 @@
   CheckBound(&fixture, 8);
 }
 
-// Failure: a server that is warm is held to the bound of a cold one.
+// Failure: a warm server is limited like a cold one.
 BOOST_AUTO_TEST_CASE(WarmServersAreNotBounded) {
   Bounded fixture(Answers());
   fixture.Publish();
-  // Twice what a cold one gets; all 20 where the machine has time for them.
+  // Twice the limit of a cold server; all 20 if the machine has time for them.
   BOOST_TEST(fixture.SentAtOnce(20) >= 16);
 }
 
-// Failure: a server that turns cold again is only believed so by the next
-// report of the directory.
+// Failure: a server that reports in its replies that it is cold again is
+// treated as warm until the directory's next report.
 BOOST_AUTO_TEST_CASE(ServersWordThatTheyAreColdIsTaken) {
   Bounded fixture(Answers("Q-Warmup: 60000\r\n"));
   fixture.Publish();
@@ -85,8 +86,8 @@
   CheckBound(&fixture, 7);
 }
 
-// Failure: servers of a data centre that is open again are cold before anybody
-// has said so, and get all that was kept from them.
+// Failure: after an evacuation servers are cold without having reported it, and
+// get the full load at once.
 BOOST_AUTO_TEST_CASE(ServersAreTakenForColdAfterAnEvacuation) {
   Bounded fixture(Answers());
   fixture.Publish();
@@ -95,8 +96,8 @@
   CheckBound(&fixture, 8);
 }
 
-// Failure: requests of a route that is kept to some data centres reach a server
-// elsewhere, also as the second attempt.
+// Failure: requests of a route that is restricted to some data centres reach a
+// server elsewhere, for instance as a retry.
 BOOST_AUTO_TEST_CASE(RoutesAreKeptToTheirHomes) {
   TrafficFixture fixture;
   auto& route = fixture.AddRoute("/p/");
--- a/packages/edge/tests/early_requests_test.cc
+++ b/packages/edge/tests/early_requests_test.cc
@@ -13,9 +13,9 @@
   };
 }
 
-// All instances were killed together. Callers wait at the door of the one that
-// comes back first, some milliseconds before it knows what to serve; refused,
-// each of them has spent the one retry it has.
+// Failure: all instances restart together, and callers reach the first one some
+// milliseconds before it has its configuration. If refused, each caller has
+// used up its only retry.
 BOOST_AUTO_TEST_CASE(RequestsOfTheFirstMomentAreServed) {
   TrafficFixture fixture;
   auto& route = fixture.AddRoute("/p/");
@@ -28,12 +28,12 @@
   const auto answer = asked.get();
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST_REQUIRE(server.requests().size() == 1);
-  // What the wait took is taken off the caller's time.
+  // The time the request was held is deducted from its deadline.
   BOOST_TEST(std::stoi(HeaderIn(server.requests()[0], "Q-Deadline")) < 1960);
 }
 
-// The store can't be reached at the start. After the first moment requests are
-// refused at once, not held until their callers give up.
+// Failure: the store is unreachable at the start, and requests are held until
+// their callers give up. After the holding time they are refused immediately.
 BOOST_AUTO_TEST_CASE(LaterOnesAreRefusedAtOnce) {
   TrafficFixture fixture;
   BOOST_TEST(fixture.Ask("GET /p/x").starts_with("HTTP/1.1 503 "));
@@ -42,7 +42,8 @@
   BOOST_TEST((SteadyNow() - began < Millis(200)));
 }
 
-// A caller leaves while its request waits: nothing of it reaches a server.
+// A caller disconnects while its request is held: the request reaches no
+// server.
 BOOST_AUTO_TEST_CASE(CallersThatLeaveInTheFirstMomentAreForgotten) {
   TrafficFixture fixture;
   auto& route = fixture.AddRoute("/p/");
--- a/packages/edge/tests/evacuation_test.cc
+++ b/packages/edge/tests/evacuation_test.cc
@@ -21,7 +21,7 @@
       [](const std::string&) { return Scripted{.text = "", .silent = true}; };
 }
 
-// A plain route over one service with a server in `here` and one in `there`.
+// A plain route to one service with one server in `local` and one in `remote`.
 class Pair : public TrafficFixture {
  public:
   Pair(const RawServer::Script& here, const RawServer::Script& there) {
@@ -42,8 +42,8 @@
 const DataCentreId kHere("dc");
 const DataCentreId kThere("there");
 
-// Failure: servers of a data centre that operators evacuate go on getting
-// requests, or get none after it is open again.
+// Failure: servers of an evacuated data centre still get requests, or get none
+// after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(EvacuatedServersGetNothingUntilTheEnd) {
   Pair pair(Answers(), Answers());
   pair.Ask("GET /p/x");
@@ -61,7 +61,7 @@
   BOOST_TEST(pair.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
 }
 
-// Failure: the second attempt after a failure goes to an evacuated server.
+// Failure: a retry is sent to an evacuated server.
 BOOST_AUTO_TEST_CASE(RepeatsKeepAwayFromEvacuatedServers) {
   Pair pair([](auto&) { return Scripted{.text = "", .resets = true}; },
             Answers());
@@ -70,8 +70,7 @@
   BOOST_TEST(pair.RequestsAt(1) == 0);
 }
 
-// Failure: the second attempt instead of a late one goes to an evacuated
-// server.
+// Failure: a hedge is sent to an evacuated server.
 BOOST_AUTO_TEST_CASE(HedgesKeepAwayFromEvacuatedServers) {
   Pair pair(Silent(), Answers());
   pair.Evacuate({kThere});
@@ -82,8 +81,8 @@
   BOOST_TEST(pair.RequestsAt(1) == 0);
 }
 
-// Failure: a service whose servers are all evacuated keeps its callers waiting,
-// or tells them to come back when nothing can have changed.
+// Failure: callers of a service whose servers are all evacuated wait in vain,
+// or are told to retry before the evacuation can have ended.
 BOOST_AUTO_TEST_CASE(ServicesWithoutOtherServersRefuseAtOnce) {
   Pair pair(Answers(), Answers());
   pair.Evacuate({kHere, kThere});
@@ -95,8 +94,8 @@
              1);
 }
 
-// Failure: a request that waits for room at a service that is evacuated
-// meanwhile waits until its time is up.
+// Failure: a request is queued when its service is evacuated, and stays queued
+// until its deadline.
 BOOST_AUTO_TEST_CASE(WaitingRequestsAreRefusedWhenTheirServersAreEvacuated) {
   Pair pair(Silent(), Silent());
   std::vector<std::unique_ptr<RawClient>> clients;
@@ -115,8 +114,8 @@
   BOOST_TEST(pair.RequestsAt(0) + pair.RequestsAt(1) == sent);
 }
 
-// Failure: a server that went out of reach is probed while it is evacuated, or
-// isn't found again after the end.
+// Failure: an unreachable server is probed while it is evacuated, or is not
+// probed after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(UnreachableServersAreProbedAfterTheEnd) {
   Pair pair(Answers(), Answers());
   const uint16_t port = FreePort();
--- a/packages/edge/tests/gather_traffic_test.cc
+++ b/packages/edge/tests/gather_traffic_test.cc
@@ -10,8 +10,8 @@
 
 std::string Record(char it) { return std::string(engine::kRecordBytes, it); }
 
-// A route over `shards` services with two servers each; the script is told the
-// shard and which of its servers is asked.
+// A route over `shards` services with two servers each; the script gets the
+// index of the shard and of its server.
 using ShardScript =
     std::function<Scripted(size_t shard, int server, const std::string&)>;
 
@@ -64,9 +64,9 @@
   BOOST_TEST(answer.ends_with(Record('e') + Record('d') + Record('c')));
 }
 
-// Both servers of a shard are silent. The caller gets what there is when its
-// target comes, and is told that a shard lacks; waiting for it would make the
-// whole answer late.
+// Failure: both servers of a shard are silent, and the whole answer waits for
+// them. The caller gets the received parts at its target and the number of
+// missing shards.
 BOOST_AUTO_TEST_CASE(AnswersAtTheTargetWithWhatIsIn) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
@@ -81,7 +81,7 @@
   BOOST_TEST(answer.ends_with(Record('d') + Record('c') + Record('b')));
 }
 
-// A server stands still. Its shard's other server is asked in time.
+// A server is stalled: the shard's other server is queried in time.
 BOOST_AUTO_TEST_CASE(SilentServersAreHedged) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 1, [](size_t shard, int server, auto& request) {
@@ -93,8 +93,8 @@
   }
 }
 
-// A part that is an answer to another request, or a failure with a receipt, is
-// no part. Taken for one, it would make the whole answer wrong.
+// Failure: a reply to another request, or an error reply with a stamp, is
+// merged and makes the whole answer wrong.
 BOOST_AUTO_TEST_CASE(BadPartsAreNotCounted) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.6, [](size_t shard, int, auto& request) {
@@ -117,8 +117,8 @@
   BOOST_TEST(answer.find(Record('z')) == std::string::npos);
 }
 
-// More shards are lost than may be missing. The caller hears it at once and not
-// at its deadline, so that it can ask elsewhere.
+// Failure: more shards have failed than may be missing, and the caller is told
+// only at its deadline, too late to ask elsewhere.
 BOOST_AUTO_TEST_CASE(FailsAsSoonAsTheShareIsOutOfReach) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
@@ -131,8 +131,8 @@
   BOOST_TEST((SteadyNow() - began).count < 1500);
 }
 
-// The index is cut anew while a query runs: its parts stay those of the version
-// it began with.
+// Failure: the configuration changes while a query runs and its parts come from
+// two versions. They must be those of the version it began with.
 BOOST_AUTO_TEST_CASE(PartsAreOfOneVersion) {
   TrafficFixture fixture;
   AddGather(&fixture, 3, 1, [](size_t shard, int, auto& request) {
@@ -153,9 +153,10 @@
   BOOST_TEST(fixture.Ask("GET /g/x").starts_with("HTTP/1.1 404 "));
 }
 
-// A data centre is cut off without a reset: servers take queries and say
-// nothing. The first caller waits in vain; those after it are told at once, and
-// when the servers will have been tried again.
+// Failure: a data centre is cut off without resets, so its servers accept
+// queries and never reply, and each caller waits until its deadline. Callers
+// after the first are refused immediately, with a Retry-After of the next
+// probe.
 BOOST_AUTO_TEST_CASE(SilentServersAreDoubtedBeforeTheFirstCallerGivesUp) {
   TrafficFixture fixture;
   AddGather(&fixture, 3, 0.8, [](size_t, int, auto&) {
@@ -176,10 +177,9 @@
   BOOST_TEST(HeaderIn(answer, "Retry-After") == "0.300");
 }
 
-// Queries are answered at their target without the parts of a shard that is
-// late, and its servers' slots are all taken by those parts, which nobody wants
-// any more. A caller that waits for one of the slots gets it at once, and not
-// when its time is up.
+// Failure: queries are answered at their target without a late shard, whose
+// servers' slots stay taken by the superfluous parts, and a caller that waits
+// for a slot gets none before its deadline. It must get one at once.
 BOOST_AUTO_TEST_CASE(AbandonedPartsMakeRoomForThoseThatWait) {
   TrafficFixture fixture;
   auto& plain = fixture.AddRoute("/p/");
--- a/packages/edge/tests/peers_traffic_test.cc
+++ b/packages/edge/tests/peers_traffic_test.cc
@@ -17,8 +17,8 @@
   return std::string(engine::kRecordBytes, static_cast<char>('a' + shard));
 }
 
-// Two instances in data centres of their own over eight shards; those with an
-// odd place have their server in the second.
+// Two instances in different data centres over eight shards; the servers of
+// shards with odd indexes are in the second.
 struct TwoPlaces {
   TrafficFixture here{"here"};
   TrafficFixture there{"there"};
@@ -69,8 +69,9 @@
   return stamps.size();
 }
 
-// Parts from another data centre come as one merged answer. Each shard is asked
-// once in all, and the caller sees the same receipts and records as ever.
+// Parts from another data centre arrive as one merged answer. Each shard is
+// queried once in total, and the caller gets the same stamps and records as
+// without peers.
 BOOST_AUTO_TEST_CASE(FarPartsAreMergedNearTheirServers) {
   TwoPlaces places;
   places.Introduce({}, {places.there.peer()});
@@ -81,14 +82,14 @@
   BOOST_TEST(answer.ends_with(Record(7) + Record(6) + Record(5)));
   BOOST_TEST(places.Arrivals() == kShards);
   BOOST_TEST(answer.find("Hp-") == std::string::npos);
-  // What peers say to each other never reaches a server.
+  // Headers between peers never reach a server.
   for (auto* it : places.servers) {
     BOOST_TEST(it->requests().at(0).find("Hp-") == std::string::npos);
   }
 }
 
-// The peer can't be reached: its parts are asked for from here, at no cost to
-// the budget since nothing ran.
+// The peer is unreachable: its parts are queried from here, without using the
+// budget since nothing has run.
 BOOST_AUTO_TEST_CASE(LostPeersPartsAreAskedForFromHere) {
   TwoPlaces places;
   engine::Peer gone = places.there.peer();
@@ -99,8 +100,8 @@
   BOOST_TEST(places.Arrivals() == kShards);
 }
 
-// A peer with another version of the configuration may know other shards. It
-// takes no part.
+// A peer with another configuration version may have other shards, so it gets
+// no parts.
 BOOST_AUTO_TEST_CASE(PeersOfAnotherVersionTakeNoPart) {
   TwoPlaces places;
   places.there.Publish(2);
@@ -110,8 +111,8 @@
   BOOST_TEST(places.Arrivals() == kShards);
 }
 
-// Some of the far servers fail: what the peer has is used, and the caller is
-// told truly what lacks.
+// Some of the remote servers fail: the peer's received parts are used, and the
+// caller gets the correct number of missing shards.
 BOOST_AUTO_TEST_CASE(PeersTellWhatLacks) {
   TwoPlaces places([](size_t i) { return i == 3; });
   places.Introduce({}, {places.there.peer()});
@@ -120,9 +121,9 @@
   BOOST_TEST(HeaderIn(answer, "Q-Missing") == "1");
 }
 
-// Two far servers are slow, and the query needs one of them. The peer answers
-// by the target without them; its caller, who has time left, used to be told
-// that servers had failed, and came back to ask all shards once more.
+// Failure: two remote servers are slow and the query needs one of them; the
+// peer answers at the target without them. The caller, who had time left, was
+// told that servers had failed and retried with all shards.
 BOOST_AUTO_TEST_CASE(LatePartsOfAPeerAreWaitedFor) {
   constexpr int kSlowMs = 700;
   TwoPlaces places;
@@ -151,9 +152,10 @@
   BOOST_TEST(places.Arrivals() == kShards);
 }
 
-// A far server breaks off, or stands still, and the shard has another one. The
-// owner of the query used to hear of it when the answer was due, too late for a
-// second attempt: its callers missed these parts.
+// Failure: a remote server resets or stalls while the shard has another one.
+// The query's owner learned of it when the answer was due, too late for a
+// second attempt, so these parts were missing. The peer must make the second
+// attempt.
 BOOST_AUTO_TEST_CASE(PeersAskASecondServerThemselves) {
   for (const bool silent : {false, true}) {
     TwoPlaces places;
@@ -175,9 +177,9 @@
   }
 }
 
-// A shard's servers break off, one after the other. The peer has tried one and
-// the owner another: a third would be more than the route allows, load on
-// servers that are in trouble already.
+// Failure: a shard's servers reset connections. The peer has tried one and the
+// owner another; a third attempt would exceed the route's limit and load
+// servers that already fail.
 BOOST_AUTO_TEST_CASE(PeerAndOwnerKeepToTheAttemptsTogether) {
   TwoPlaces places([](size_t i) { return i == 3; });
   for (int k = 0; k < 3; ++k) {
@@ -197,7 +199,7 @@
   BOOST_TEST(tried == 2);
 }
 
-// A weak instance hands the whole query to an able one.
+// An instance forwards the whole query to a sender.
 BOOST_AUTO_TEST_CASE(WholeQueriesAreHandedToSenders) {
   TwoPlaces places;
   places.Introduce({places.there.peer()}, {});
@@ -207,7 +209,7 @@
   BOOST_TEST(answer.find("Hp-") == std::string::npos);
 }
 
-// The sender is lost: the query is served from here.
+// The sender is unreachable: the query is run here.
 BOOST_AUTO_TEST_CASE(LostSendersQueriesAreServedHere) {
   TwoPlaces places;
   engine::Peer gone = places.there.peer();
@@ -218,15 +220,15 @@
   }
 }
 
-// The sender's data centre is cut off from the servers. It says so before any
-// has run, and the query is served from here, where this instance learns
-// whether it is cut off itself; the next query doesn't go there any more.
+// The sender's data centre is cut off from the servers. The sender refuses
+// before any part has run, and the query is run here, so that this instance
+// learns whether it is cut off itself; the next query is not forwarded.
 BOOST_AUTO_TEST_CASE(SendersOutOfReachHandBack) {
   TwoPlaces places;
   for (auto& it : places.there.entries()) it.address.port = FreePort();
   places.there.Publish();
   places.Introduce({places.there.peer()}, {});
-  // The first finds out that the servers can't be connected to.
+  // The first request finds the servers unreachable.
   for (int i = 0; i < 2; ++i) (void)places.there.Ask("GET /g/x");
   for (int i = 0; i < 2; ++i) {
     const auto answer = places.here.Ask("GET /g/x");
@@ -236,16 +238,16 @@
   BOOST_TEST(places.Arrivals() == 2 * kShards);
 }
 
-// The data centre is cut off. Its sender knows; an instance that hands its
-// queries over has made too few attempts of its own to be sure, and the
-// balancer would go on giving it callers whom it can only refuse.
+// Failure: the data centre is cut off and its sender knows. An instance that
+// forwards its queries has made too few attempts itself to notice, and the load
+// balancer keeps sending it callers that it can only refuse.
 BOOST_AUTO_TEST_CASE(SendersTellThatTheDataCentreIsCutOff) {
   TwoPlaces places;
   for (auto* fixture : {&places.here, &places.there}) {
     for (auto& it : fixture->entries()) it.address.port = FreePort();
     fixture->Publish();
   }
-  // The sender has tried servers elsewhere in vain for long enough.
+  // The sender's attempts at remote servers have failed for long enough.
   for (int i = 0; i < 3; ++i) {
     (void)places.there.Ask("GET /g/x");
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -259,8 +261,8 @@
   BOOST_TEST(places.here.AskReady().starts_with("HTTP/1.1 503 "));
 }
 
-// The sender stands still: it takes queries and says nothing. One query waits
-// for it in vain; those after it are served from here.
+// Failure: a stalled sender accepts queries and never replies. One query is
+// lost; later ones must be run here.
 BOOST_AUTO_TEST_CASE(SilentSendersGetNoMoreQueries) {
   TwoPlaces places;
   RawServer frozen([](auto&) { return Scripted{.text = "", .silent = true}; });
@@ -269,7 +271,8 @@
   places.Introduce({sender}, {});
   RawClient first(places.here.port());
   first.Say(TrafficFixture::RequestText("GET /g/x"));
-  // Its answer is due after 400 ms, and the sender is doubted 300 ms later.
+  // Its answer is due after 400 ms, and the sender's backoff starts 300 ms
+  // later.
   std::this_thread::sleep_for(std::chrono::milliseconds(900));
   const auto answer = places.here.Ask("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
@@ -277,9 +280,8 @@
   BOOST_TEST(frozen.requests().size() == 1);
 }
 
-// An instance stops while a peer that stands still has its caller's query. The
-// caller must get an answer before the instance ends, and not a broken
-// connection.
+// Failure: an instance stops while a stalled peer has its caller's query. The
+// caller must get an answer, not a broken connection.
 BOOST_AUTO_TEST_CASE(StopAnswersWhatAPeerHas) {
   TwoPlaces places;
   RawServer frozen([](auto&) { return Scripted{.text = "", .silent = true}; });
@@ -295,8 +297,8 @@
   BOOST_TEST(Eventually([&] { return done.load(); }));
 }
 
-// What a stranger says on the port for peers must not reach a server without
-// the version and clocks that peers give, nor name shards that aren't there.
+// Requests on the peers' port without configuration version and deadlines, or
+// with invalid shard indexes, must not reach a server.
 BOOST_AUTO_TEST_CASE(StrangersAreRefused) {
   TwoPlaces places;
   const std::string good =
@@ -325,8 +327,8 @@
                          {"1,2,3,4,5,6", false},        {"a,2,3,4,5", false},
                          {"1,2,3,4,5x", false},         {"", false}};
 
-// Failure: a peer's word on its lags that can't be read is taken for none, or
-// ends the process.
+// Failure: a malformed list of lags from a peer is accepted, or crashes the
+// process.
 BOOST_DATA_TEST_CASE(LagsOfPeersAreRead, bdata::make(kLags), row) {
   HandedQuery query;
   query.clocks.answer_in = Millis(40);
--- a/packages/edge/tests/prober_test.cc
+++ b/packages/edge/tests/prober_test.cc
@@ -25,7 +25,7 @@
   return peer;
 }
 
-// A fixture whose fan-out needs two shards: one here, one far away.
+// Adds a fan-out over two shards, one local and one remote, both required.
 void AddFarShard(TrafficFixture* fixture, uint16_t far_port) {
   auto& route = fixture->AddRoute("/g/");
   route.gather = engine::GatherRule{{ServiceId("a"), ServiceId("b")}, 5, 1.0};
@@ -36,7 +36,7 @@
   far.address.port = far_port;
 }
 
-// Asks until the instance answers so to the balancer, or the test hangs.
+// Sends requests until the readiness check returns `ready`.
 bool BecomesReady(const TrafficFixture& fixture, bool ready) {
   return Eventually([&] {
     fixture.Ask("GET /g/x");
@@ -45,9 +45,9 @@
   });
 }
 
-// A data centre is cut off from the others. Its callers can't be served there,
-// and are refused until the balancer hears of it; when it is reached again they
-// are taken back.
+// Failure: a data centre is cut off, and the load balancer keeps sending it
+// callers that it can only refuse. It must become not ready, and ready again
+// when the other data centre is reachable.
 BOOST_AUTO_TEST_CASE(ACutIsFoundOutAndItsEndToo) {
   TrafficFixture fixture;
   const uint16_t port = FreePort();
@@ -56,7 +56,7 @@
   fixture.Publish();
   const Millis began = SteadyNow();
   BOOST_TEST_REQUIRE(BecomesReady(fixture, false));
-  // The aim: two questions of the balancer, a second apart, see it within the
+  // Bound: two readiness checks one second apart must see it within the
   // shortest deadline of two seconds.
   BOOST_TEST((SteadyNow() - began).count < 1000);
   const auto refused = fixture.Ask("GET /g/x");
@@ -67,10 +67,10 @@
   close(listener);
 }
 
-// Another instance of the data centre says that this is cut off. One that had
-// no caller yet finds out at once, and not by refusing the first that the
-// balancer sends it since the others are not ready; where it was that other one
-// alone, callers are served as ever.
+// Failure: an instance without callers notices a cut only by refusing the first
+// caller that the load balancer sends it once the others are not ready. A
+// report of another instance makes it probe. If only that other instance is cut
+// off, this one stays ready.
 BOOST_AUTO_TEST_CASE(WhoIsToldOfACutLooksForItself) {
   for (const bool cut : {true, false}) {
     TrafficFixture fixture;
@@ -93,8 +93,9 @@
   }
 }
 
-// All instances of the other data centre are down, its servers are well. They
-// get their parts, and nobody is turned away here.
+// Failure: all instances of the other data centre are down, and its healthy
+// servers are taken for unreachable. They must get their parts, and this
+// instance stays ready.
 BOOST_AUTO_TEST_CASE(ADataCentreWithoutInstancesIsNotLost) {
   TrafficFixture fixture;
   RawServer far(Answers("0123456789abcdef"));
--- a/packages/edge/tests/raw_sockets.h
+++ b/packages/edge/tests/raw_sockets.h
@@ -1,5 +1,5 @@
-// Plain blocking sockets for tests, so that what is tested isn't also the
-// tool: a client that says any bytes, and a server that answers any bytes.
+// Blocking sockets for tests, independent of the code under test: a client that
+// sends arbitrary bytes and a server that replies with arbitrary bytes.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,7 +28,7 @@
   return address;
 }
 
-// A listening socket on that port, or on a free one for 0.
+// Returns a listening socket on the port, or on a free one for 0.
 inline int ListenAt(uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const sockaddr_in address = Loopback(port);
@@ -64,8 +64,8 @@
   void Say(const std::string& text) {
     (void)send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
-  // All that comes until the other side ends, `until` is seen or nothing comes
-  // for ten seconds.
+  // Receives until the peer closes, `until` is found or nothing arrives for ten
+  // seconds.
   std::string Hear(const std::string& until = "") {
     constexpr int kPatience = 10000;
     std::string heard;
@@ -85,15 +85,15 @@
   bool connected_ = false;
 };
 
-// What a scripted server does with one request.
+// How a scripted server replies to one request.
 struct Scripted {
-  // Said as it is.
+  // Sent unchanged.
   std::string text;
-  // Ends the connection after it.
+  // Closes the connection after the text.
   bool closes = false;
-  // Ends it with a reset.
+  // Closes the connection with a reset after the text.
   bool resets = false;
-  // Says nothing and waits until the other side ends.
+  // Sends nothing and waits until the peer closes.
   bool silent = false;
   int wait_ms = 0;
 };
@@ -121,7 +121,7 @@
   RawServer& operator=(const RawServer&) = delete;
 
   uint16_t port() const { return port_; }
-  // Nobody can connect any more; what is open stays.
+  // Refuses new connections; open ones continue.
   void StopAccepting() {
     stopping_ = true;
     shutdown(listener_, SHUT_RDWR);
@@ -130,7 +130,7 @@
     const std::lock_guard lock(mutex_);
     return requests_;
   }
-  // Connections that the other side ended while a request was unanswered.
+  // Number of connections that the peer closed while a request was unanswered.
   int abandoned() const { return abandoned_; }
 
  private:
--- a/packages/edge/tests/restarted_servers_test.cc
+++ b/packages/edge/tests/restarted_servers_test.cc
@@ -20,7 +20,7 @@
 
 struct EarlierRow {
   const char* what;
-  // Makes the entry that of an earlier incarnation.
+  // Changes the entry to that of an earlier incarnation.
   std::function<void(engine::ServerEntry*)> change;
 };
 
@@ -29,16 +29,17 @@
 }
 
 const EarlierRow kEarlier[] = {
-    {"was leaving", [](auto* it) { it->draining = true; }},
-    {"was of another service", [](auto* it) { it->service = ServiceId("t"); }},
-    {"was at an address where nobody is now",
+    {"was draining", [](auto* it) { it->draining = true; }},
+    {"belonged to another service",
+     [](auto* it) { it->service = ServiceId("t"); }},
+    {"was at an address without a listener",
      [](auto* it) { it->address.port = FreePort(); }},
-    {"was just starting", [](auto* it) { it->warmup_left = Millis(60000); }},
+    {"was warming up", [](auto* it) { it->warmup_left = Millis(60000); }},
 };
 
-// A backend server ends and starts again under the id that it had. The new one
-// holds nothing of before; were what is believed of the earlier one kept, it
-// would get no requests, though it is ready and nobody else serves them.
+// Failure: a backend server restarts under the same id, and the state of its
+// predecessor is applied to it. It would get no requests although it is ready
+// and the only server.
 BOOST_DATA_TEST_CASE(RestartedServersBeginClean, bdata::make(kEarlier), row) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
@@ -57,9 +58,9 @@
   BOOST_TEST(answer.ends_with("here"));
 }
 
-// While a request is with the earlier incarnation, the later one is listed. The
-// answer on the old connection is the caller's, and neither the connection nor
-// what it tells is taken for the later one's.
+// Failure: the list changes to a new incarnation while the previous one runs a
+// request. Its answer is the caller's, but neither its connection nor its
+// statistics may be used for the new incarnation.
 BOOST_AUTO_TEST_CASE(AnswersOfAnEarlierIncarnationAreNoneOfTheLater) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
--- a/packages/edge/tests/traffic_fixture.h
+++ b/packages/edge/tests/traffic_fixture.h
@@ -1,4 +1,4 @@
-// A traffic server on loopback with scripted backend servers.
+// A TrafficServer on the loopback interface with scripted backend servers.
 #pragma once
 
 #include <chrono>
@@ -29,7 +29,7 @@
           .parts_missing = "Q-Missing"};
 }
 
-// The value of a header in a message's text; empty if it has none.
+// Value of a header in a serialised message; empty if it has none.
 inline std::string HeaderIn(const std::string& text, const std::string& name) {
   const std::string key = "\r\n" + name + ": ";
   const size_t at = text.find(key);
@@ -38,7 +38,7 @@
   return text.substr(begin, text.find("\r\n", begin) - begin);
 }
 
-// A good answer to the request.
+// A valid reply to the request.
 inline std::string GoodAnswer(const std::string& request,
                               const std::string& stamp,
                               const std::string& body) {
@@ -77,7 +77,7 @@
     thread_.join();
   }
 
-  // A backend server of the service that does what the script says.
+  // Adds a backend server of the service that replies as scripted.
   RawServer& AddServer(const std::string& service, RawServer::Script script) {
     servers_.push_back(std::make_unique<RawServer>(std::move(script)));
     engine::ServerEntry entry;
@@ -116,7 +116,7 @@
     });
   }
 
-  // Runs on the loop's thread and waits for it.
+  // Runs the task on the loop's thread and waits for it.
   void OnLoop(const std::function<void()>& task) {
     std::mutex mutex;
     std::condition_variable done;
@@ -136,7 +136,7 @@
     return line + " HTTP/1.1\r\nHost: h\r\nQ-Id: one\r\nQ-Deadline: 2000\r\n" +
            more + "\r\n";
   }
-  // Asks on a connection of its own and gives the whole answer.
+  // Sends a request on a new connection and returns the whole reply.
   std::string Ask(const std::string& line, const std::string& more = "") const {
     RawClient client(port_);
     client.Say(RequestText(line, "Connection: close\r\n" + more));
@@ -148,9 +148,9 @@
     return client.Hear();
   }
 
-  // How other instances reach this one.
+  // This instance as its peers know it.
   const engine::Peer& peer() const { return peer_; }
-  // Serves the same routes and servers as the other.
+  // Gives the other fixture the same routes and servers.
   void ShareWith(TrafficFixture* other) const {
     other->config_ = config_;
     other->entries_ = entries_;
--- a/packages/edge/tests/traffic_test.cc
+++ b/packages/edge/tests/traffic_test.cc
@@ -26,15 +26,15 @@
   };
 }
 
-// One service behind "/p/".
+// Adds a route "/p/" to one service.
 void AddPlain(TrafficFixture* fixture, engine::Repeat repeat) {
   auto& route = fixture->AddRoute("/p/");
   route.repeat = repeat;
   route.split = {{ServiceId("s"), 1}};
 }
 
-// A new process knows no configuration yet. 404 would tell callers that the
-// route is gone for good; 503 says what is true, come back.
+// Failure: a new process without a configuration replies 404, which tells
+// callers that the route does not exist. It must reply 503, so that they retry.
 BOOST_AUTO_TEST_CASE(KnowsNothingYet) {
   TrafficFixture fixture;
   BOOST_TEST_REQUIRE(fixture.listened());
@@ -65,8 +65,8 @@
   BOOST_TEST(IsStatus(fixture.Ask("GET /nowhere/"), 404));
 }
 
-// A caller that names a server or forges a receipt must not be believed: the
-// one would reach a server that has left, the other would pass for an answer.
+// Failure: a caller sets the headers for the expected server or the stamp,
+// which would reach a server that has left, or pass for an answer.
 BOOST_AUTO_TEST_CASE(ForgedHeadersOfCallersAreDropped) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -98,8 +98,8 @@
     {"", 2900, 3000},
 };
 
-// What a server is told must be a bound it can work by, whatever the caller
-// said: without one it would work on for nobody.
+// Servers must get a usable deadline whatever the caller sent; without one they
+// would keep working for callers that are gone.
 BOOST_DATA_TEST_CASE(ServersAreToldABound, bdata::make(kDeadlines), row) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -137,16 +137,16 @@
 
 const OnceRow kOnce[] = {
     {"reset after it was sent", {.text = "", .resets = true}, 502, 1},
-    {"answer cut short",
+    {"truncated reply",
      {.text = "HTTP/1.1 200 OK\r\nContent-Le", .closes = true},
      502,
      1},
-    {"a server's own failure", {.text = kFailure}, 500, 1},
-    {"refused as not run", {.text = kRefusal}, 200, 2},
+    {"error reply of the server", {.text = kFailure}, 500, 1},
+    {"refused without running", {.text = kRefusal}, 200, 2},
     {"another server has the address", {.text = kForeign}, 200, 2},
 };
 
-// Two servers of the service, of which whoever is asked first does `first`.
+// Two servers of the service; the first to get a request replies with `first`.
 void AddTwoServers(TrafficFixture* fixture, const Scripted& first,
                    std::atomic<size_t>* arrivals) {
   for (int i = 0; i < 2; ++i) {
@@ -159,8 +159,9 @@
   fixture->Publish();
 }
 
-// A claim is recorded. Its answer is lost on the way; sent again, it would be
-// paid twice. Only the server's own word that it hasn't run allows that.
+// Failure: the reply to a claim is lost, the claim is sent again and paid
+// twice. A request that is not idempotent may be repeated only if the server
+// says that it has not run.
 BOOST_DATA_TEST_CASE(WhatMayRunOnceIsNotRepeated, bdata::make(kOnce), row) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -171,7 +172,7 @@
   BOOST_TEST(arrivals == row.arrivals);
 }
 
-// The same faults where a repeat is allowed: the caller notices nothing.
+// The same faults with an idempotent route: the caller gets an answer.
 BOOST_DATA_TEST_CASE(WhatMayRepeatIsTriedElsewhere, bdata::make(kOnce), row) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kIdempotent);
@@ -181,8 +182,8 @@
   BOOST_TEST(arrivals == 2);
 }
 
-// Servers that take nothing: the caller must hear that its request has not run,
-// and when to come back.
+// All servers refuse: the caller must learn that its request has not run and
+// when to retry.
 BOOST_AUTO_TEST_CASE(NobodyTookIt) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -193,8 +194,8 @@
   BOOST_TEST(HeaderIn(answer, "Retry-After") != "");
 }
 
-// A server answers twice, or late to an earlier request. Taken as they come,
-// each caller would get the answer of the one before.
+// Failure: a server replies twice, or late to an earlier request, and each
+// caller gets the previous caller's answer.
 BOOST_AUTO_TEST_CASE(AnswersOfOthersArePassedOver) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -212,8 +213,8 @@
   }
 }
 
-// An answer without a length ends with its connection; one whose connection is
-// reset is cut, and must not look whole.
+// A reply without a length ends with its connection. If the connection is
+// reset, the reply is truncated and must not be taken for complete.
 BOOST_AUTO_TEST_CASE(AnswersWithoutALength) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -231,7 +232,8 @@
   BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 502));
 }
 
-// The caller hangs up. Servers that work on for it keep others waiting.
+// Failure: the caller disconnects, and servers that keep working for it delay
+// others.
 BOOST_AUTO_TEST_CASE(CallerThatLeavesStopsItsAttempts) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kIdempotent);
@@ -245,8 +247,8 @@
   BOOST_TEST(Eventually([&] { return server.abandoned() == 1; }));
 }
 
-// A route's time is up while the server is silent: the caller hears so, and is
-// not told that nothing ran.
+// The deadline passes while the server is silent: the caller is told so, and
+// not that nothing has run.
 BOOST_AUTO_TEST_CASE(TimeUpIsAnsweredAtOnce) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -262,7 +264,7 @@
   BOOST_TEST((SteadyNow() - began).count < 3000);
 }
 
-// Those on call see what became of queries without reading logs.
+// Operators can see the outcome of queries without reading logs.
 BOOST_AUTO_TEST_CASE(MetricsCountWhatBecameOfQueries) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -280,7 +282,7 @@
   }
 }
 
-// An older configuration that comes late must not come into force again.
+// An older configuration that arrives late must not come into force.
 BOOST_AUTO_TEST_CASE(ConfigurationNeverGoesBack) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -294,8 +296,8 @@
   BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 200));
 }
 
-// A planned stop: the balancer goes on sending for a while, and what runs is
-// answered before the end.
+// Failure: a graceful shutdown breaks requests that run, or that the load
+// balancer still sends for a while.
 BOOST_AUTO_TEST_CASE(StopCutsNothingOff) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -316,8 +318,8 @@
   BOOST_TEST(Eventually([&] { return done.load(); }));
 }
 
-// A request that is still at its server when the process has to end gets an
-// answer all the same, and not a closed connection.
+// Failure: a request still running when the process has to exit gets a closed
+// connection instead of an answer.
 BOOST_AUTO_TEST_CASE(StopAnswersWhatCannotFinish) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -331,8 +333,9 @@
   BOOST_TEST(IsStatus(client.Hear(), 504));
 }
 
-// A caller connects while the instance is about to end. Taken and then broken
-// off, it would not know whether its request has run; turned away, it does.
+// Failure: a caller connects just before the process exits, and its connection
+// is accepted and then broken, so it does not know whether its request has run.
+// The connection must be refused.
 BOOST_AUTO_TEST_CASE(NobodyIsTakenInTheLastMoment) {
   TrafficFixture fixture;
   AddPlain(&fixture, engine::Repeat::kOnce);
@@ -356,9 +359,9 @@
 const OnTheWayRow kOnTheWay[] = {
     {std::nullopt, 71}, {Millis(0), 76}, {Millis(2), 74}, {Millis(12.8), 63.2}};
 
-// Failure: answers leave by the same clock to callers that are near and far, so
-// that those to far ones arrive after the target, and parts that would have
-// come lack in those to near ones.
+// Failure: answers leave at the same time for near and far callers, so those to
+// far callers arrive after the target, and those to near callers miss parts
+// that would have arrived.
 BOOST_DATA_TEST_CASE(AnswersLeaveByTheCallersWay, bdata::make(kOnTheWay), row) {
   QueryContext context;
   const auto names = TestNames();
