--- a/packages/edge/include/hibiscuspick/edge/peer_sender.h
+++ b/packages/edge/include/hibiscuspick/edge/peer_sender.h
@@ -24,7 +24,7 @@
 struct HandedQuery {
   uint64_t config_version = 0;
   HandedClocks clocks;
-  // Indexes, within the route, of the shards to query; empty for all.
+  // Indices, within the route, of the shards to query; empty for all.
   std::vector<size_t> shards;
   // Set if this query asks for the parts that were still open in an earlier
   // answer: the token of that answer, and how many of the parts are needed.
@@ -40,13 +40,13 @@
 void AddHanded(const HandedQuery& query, std::vector<Header>* headers);
 std::optional<HandedQuery> TakeHanded(std::vector<Header>* headers);
 
-// In the answer to a query for some shards: indexes of the shards whose results
+// In the answer to a query for some shards: indices of the shards whose results
 // are included, in the order of their stamps.
 inline constexpr std::string_view kShardsInHeader = "Hp-Shards-In";
-// In every answer to such a query: indexes of the missing shards that have used
+// In every answer to such a query: indices of the missing shards that have used
 // all attempts the route allows.
 inline constexpr std::string_view kShardsSpentHeader = "Hp-Shards-Spent";
-// In the first answer: indexes of the shards that may still reply, and the
+// In the first answer: indices of the shards that may still reply, and the
 // token with which to ask for them within kRemainderTtl.
 inline constexpr std::string_view kShardsOpenHeader = "Hp-Shards-Open";
 inline constexpr std::string_view kRestHeader = "Hp-Rest";
@@ -62,7 +62,7 @@
 // time, from the peer's answer.
 void NoteHop(const HttpReply& reply, Millis sent_at, engine::LagMeter* lag);
 
-// Formats and parses comma-separated indexes; nullopt if malformed.
+// Formats and parses comma-separated indices; nullopt if malformed.
 std::string JoinPlaces(const std::vector<size_t>& places);
 std::optional<std::vector<size_t>> SplitPlaces(std::string_view text);
 
--- a/packages/edge/include/hibiscuspick/edge/query_run.h
+++ b/packages/edge/include/hibiscuspick/edge/query_run.h
@@ -102,7 +102,7 @@
   bool ran = false;
   // Its parts were queued after those of queries that could still be on time.
   bool behind = false;
-  // Indexes of shards that are still awaited after this answer to a peer, until
+  // Indices of shards that are still awaited after this answer to a peer, until
   // Resume or DropRemainder.
   std::vector<size_t> open;
   // The answer came after the route's target.
@@ -275,7 +275,7 @@
   std::vector<Header> forwarded_;
   OnDone on_done_;
   std::optional<HandedClocks> handed_;
-  // Indexes within the route of a partial query's shards; empty for a whole
+  // Indices within the route of a partial query's shards; empty for a whole
   // query.
   std::vector<size_t> places_;
   // Result records that peers have already merged.
--- a/packages/edge/tests/peers_traffic_test.cc
+++ b/packages/edge/tests/peers_traffic_test.cc
@@ -18,7 +18,7 @@
 }
 
 // Two instances in different data centres over eight shards; the servers of
-// shards with odd indexes are in the second.
+// shards with odd indices are in the second.
 struct TwoPlaces {
   TrafficFixture here{"here"};
   TrafficFixture there{"there"};
@@ -298,7 +298,7 @@
 }
 
 // Requests on the peers' port without configuration version and deadlines, or
-// with invalid shard indexes, must not reach a server.
+// with invalid shard indices, must not reach a server.
 BOOST_AUTO_TEST_CASE(StrangersAreRefused) {
   TwoPlaces places;
   const std::string good =
