--- a/packages/limits/include/hibiscuspick/limits/attempt_budget.h
+++ b/packages/limits/include/hibiscuspick/limits/attempt_budget.h
@@ -1,4 +1,4 @@
-// The one budget for hedges and retries.
+// Token bucket that bounds hedges and retries together.
 #pragma once
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace hibiscuspick::limits {
 
-// A token bucket filled by first attempts. Without it a slow or shedding group
-// would get a second and third attempt for each first one, and the extra load
-// would keep it slow after the cause is gone.
+// A token bucket refilled by first attempts. Without it, a slow or shedding
+// group would receive a second and a third attempt for each first one, and the
+// extra load would keep it slow after the cause is gone.
 struct AttemptBudget {
   double tokens = 0;
   Millis filled_at;
@@ -24,12 +24,12 @@
       std::min(policy.burst, budget->tokens + seconds * policy.per_second);
 }
 
-// Called for each first attempt.
+// Credits the budget for one first attempt.
 inline void EarnBudget(AttemptBudget* budget, const BudgetPolicy& policy) {
   budget->tokens = std::min(policy.burst, budget->tokens + policy.share);
 }
 
-// Takes one extra attempt; false if there is none left.
+// Takes a token for one extra attempt. Returns false if none is left.
 inline bool TakeBudget(AttemptBudget* budget, const BudgetPolicy& policy,
                        Millis now) {
   FillBudget(budget, policy, now);
@@ -38,7 +38,7 @@
   return true;
 }
 
-// Gives back an extra attempt that was not made.
+// Returns the token of an extra attempt that was not made.
 inline void ReturnBudget(AttemptBudget* budget, const BudgetPolicy& policy) {
   budget->tokens = std::min(policy.burst, budget->tokens + 1);
 }
--- a/packages/limits/include/hibiscuspick/limits/group.h
+++ b/packages/limits/include/hibiscuspick/limits/group.h
@@ -1,7 +1,8 @@
-// The decisions for one group: the backend servers of one service, the work
-// that waits for them and the attempts that run there. No threads, sockets or
-// clocks: each function takes an event, the time and a source of randomness,
-// changes the state and appends the actions to be carried out.
+// Scheduler state of one group: the backend servers of one service, the tasks
+// queued for them and the attempts in flight. It has no threads, sockets or
+// clocks: each function takes an event, the current time and a source of
+// randomness, updates the state and appends the actions that the caller must
+// perform.
 #pragma once
 
 #include <array>
@@ -26,34 +27,35 @@
 
 enum class AttemptKind : uint8_t { kFirst, kHedge, kRetry };
 
-// One shard's work, from a PartRequest.
+// The work for one shard of a PartRequest, or a record.
 struct NewTask {
   TaskId task;
   Lane lane = Lane::kOrdinary;
-  // An instant of this process's clock.
+  // Absolute time on this process's steady clock.
   Millis deadline;
   std::vector<BackendServerId> servers;
   IndexVersion version;
-  // False for a record: one attempt at most is ever handed over.
+  // False for a record: at most one attempt is ever sent.
   bool idempotent = true;
 };
 
-// How an attempt ended, as the shell saw it.
+// The result of an attempt as observed by the I/O code.
 struct AttemptReport {
   AttemptId attempt;
   Code code = Code::kOk;
-  // From the hand-over to the whole reply or the failure.
+  // Time from sending the request to the complete reply or the failure.
   Millis latency;
-  // With kVersionNotHeld.
+  // With kVersionNotHeld: the versions that the server holds.
   std::vector<IndexVersion> held;
   bool draining = false;
-  // 0 if the server does not say.
+  // 0 if the server did not report one.
   Incarnation incarnation;
 };
 
-// Actions. `server` is an index into GroupState::servers and stays valid.
+// Actions. `server` is an index into GroupState::servers; indexes never change.
 
-// Hand the attempt to a worker, which asks MayStart just before the socket.
+// Run the attempt on a worker. The worker calls MayStart just before it writes
+// to the socket.
 struct StartAttempt {
   AttemptId attempt;
   TaskId task;
@@ -62,21 +64,21 @@
   AttemptKind kind = AttemptKind::kFirst;
 };
 
-// Close the attempt's connection, ask the server to cancel it, and report
-// ConfirmCancel once the server has answered that.
+// Close the attempt's connection, ask the server to cancel the attempt, and
+// call ConfirmCancel once the server has confirmed it.
 struct CancelAttempt {
   AttemptId attempt;
   uint32_t server = 0;
 };
 
-// The task is over; the last that is said of it.
+// The task is finished. No further action refers to it.
 struct TaskDone {
   TaskId task;
   Code code = Code::kOk;
-  // kNo only if no attempt was handed to a socket.
+  // kNo only if no attempt was sent.
   Ran ran = Ran::kMaybe;
   uint32_t attempts = 0;
-  // With kOk: the attempt whose reply counts.
+  // With kOk: the attempt whose reply is the answer.
   AttemptId winner;
   std::vector<IndexVersion> held;
 };
@@ -96,7 +98,7 @@
   kDrain,
 };
 
-// For the log: why something was or was not done.
+// A scheduling decision, for the log.
 struct Decision {
   DecisionKind kind = DecisionKind::kStart;
   TaskId task;
@@ -106,7 +108,7 @@
   AttemptKind attempt_kind = AttemptKind::kFirst;
   Code code = Code::kOk;
   Millis waited;
-  // Tasks still waiting in the group.
+  // Tasks queued in the group.
   size_t waiting = 0;
 };
 
@@ -117,17 +119,17 @@
 struct TaskState {
   NewTask work;
   Millis added;
-  // Indexes of the servers that may hold it, and of those already tried.
+  // Indexes of the servers that hold the shard, and of those already tried.
   ServerSet candidates;
   ServerSet tried;
   std::vector<AttemptId> running;
   bool waits = false;
   QueuePlace place;
   AttemptKind next_kind = AttemptKind::kFirst;
-  // Whether the waiting attempt was taken from the budget.
+  // Whether the queued attempt has taken a token from the budget.
   bool paid = false;
   bool hedged = false;
-  // Attempts handed to a socket.
+  // Attempts sent.
   uint32_t handed = 0;
   Code last_code = Code::kOk;
   std::vector<IndexVersion> held;
@@ -143,12 +145,13 @@
   AttemptKind kind = AttemptKind::kFirst;
   bool paid = false;
   bool handed = false;
-  // Its task is over or has gone on; only the slot is still counted.
+  // The task no longer needs the attempt, but the server may still run it, so
+  // its slot stays in use.
   bool abandoned = false;
 };
 
-// How often a lane's attempts were started of late: a count that fades over
-// about a second.
+// Start rate of a lane: a count that decays exponentially with a time constant
+// of one second.
 struct StartRate {
   double starts = 0;
   Millis at;
@@ -159,12 +162,12 @@
 struct Timer {
   Millis at;
   TimerKind kind = TimerKind::kTask;
-  // A task, an attempt, or a server's index.
+  // A task, an attempt or the index of a server, by kind.
   uint64_t id = 0;
   auto operator<=>(const Timer&) const = default;
 };
 
-// Counted since the state was made.
+// Totals since the state was created.
 struct GroupCounters {
   uint64_t tasks = 0;
   uint64_t first_attempts = 0;
@@ -184,8 +187,8 @@
 };
 
 struct GroupState {
-  // Attempt numbers start here; give each group its own range, since a number
-  // is never used twice by one instance.
+  // The next attempt id. Attempt ids must be unique within an instance, so each
+  // group needs its own range.
   uint64_t next_attempt = 1;
   GroupPolicy policy;
   std::vector<ServerState> servers;
@@ -194,11 +197,11 @@
   std::unordered_map<AttemptId, AttemptState> attempts;
   LaneQueues queues;
   uint64_t next_sequence = 0;
-  // By lane, since an export's query takes other times than a fraud check's.
+  // Per lane, because bulk exports and fraud checks differ in latency.
   std::array<LatencySketch, kLaneCount> latency;
   std::array<StartRate, kLaneCount> start_rates;
-  // Whether bulk attempts were found to take much longer than urgent ones.
-  // Taken for granted until measured.
+  // Whether bulk attempts take much longer than urgent ones. Assumed until both
+  // lanes have enough samples.
   bool bulk_is_long = true;
   AttemptBudget budget;
   std::set<Timer> timers;
@@ -206,52 +209,53 @@
   bool configured = false;
 };
 
-// The servers and values now in force. A server that leaves the list gets
-// nothing new; what runs there may finish.
+// Applies the current servers and policy. A server missing from the list gets
+// no new attempts; its running attempts may finish.
 void Configure(GroupState* state,
                const std::vector<settings::BackendServer>& servers,
                const std::vector<BackendServerId>& drained,
                const GroupPolicy& policy, Millis now, Random* random,
                Actions* actions);
 
-// Takes in a task, or refuses it at once with a TaskDone and ran "no". The
-// task's number must be new to the state.
+// Queues a task, or refuses it at once with a TaskDone whose `ran` is kNo. The
+// task id must be new to the state.
 void AddTask(GroupState* state, const NewTask& task, Millis now, Random* random,
              Actions* actions);
 
-// The last check, made just before the request is written to a socket: false
-// if the task was cancelled, its deadline has passed or the server drains.
-// After false the attempt is forgotten and must not be reported; after true it
-// counts as run and must be reported.
+// Final check just before the request is written to a socket. Returns false if
+// the task was cancelled, its deadline has passed or the server is draining;
+// the attempt is then removed and must not be reported. After true the attempt
+// counts as sent and must be reported by FinishAttempt.
 bool MayStart(GroupState* state, AttemptId attempt, Millis now, Random* random,
               Actions* actions);
 
-// An attempt ended. One that is not known any more is passed over. kOk after
-// the deadline does not count.
+// Handles the end of an attempt; unknown attempts are ignored. A kOk after the
+// deadline counts as kDeadlineExceeded.
 void FinishAttempt(GroupState* state, const AttemptReport& report, Millis now,
                    Random* random, Actions* actions);
 
-// The server confirmed that the attempt no longer runs.
+// Handles the server's confirmation that a cancelled attempt is not running.
 void ConfirmCancel(GroupState* state, AttemptId attempt, Millis now,
                    Random* random, Actions* actions);
 
-// Nobody wants the tasks any more: no TaskDone follows, and none of them is
-// started in the place of another.
+// Cancels tasks without a TaskDone. A slot freed by one of them is not given to
+// another of them.
 void CancelTasks(GroupState* state, const std::vector<TaskId>& tasks,
                  Millis now, Random* random, Actions* actions);
 
-// News of a server from a peer, the platform or a reply.
+// Handles a report of a server's incarnation and drain state from a peer, the
+// platform or a reply.
 void TakeServerNews(GroupState* state, const BackendServerId& server,
                     Incarnation incarnation, bool draining, Millis now,
                     Random* random, Actions* actions);
 
-// To be called at NextDue or later.
+// Runs the timers that are due. Call it at NextDue or later.
 void Tick(GroupState* state, Millis now, Random* random, Actions* actions);
 
-// When Tick has something to do; kNever if nothing is pending.
+// The time at which Tick is next needed; kNever if no timer is set.
 Millis NextDue(const GroupState& state);
 
-// Slots taken now, over all servers.
+// Slots in use over all servers.
 int SlotsInUse(const GroupState& state);
 
 }  // namespace hibiscuspick::limits
--- a/packages/limits/include/hibiscuspick/limits/group_policy.h
+++ b/packages/limits/include/hibiscuspick/limits/group_policy.h
@@ -1,5 +1,5 @@
-// The values that tune a group: one service's backend servers as one instance
-// uses them. The daemon fills this from the settings tree.
+// Tuning parameters of a group: the backend servers of one service as used by
+// one instance. The daemon fills them from the settings tree.
 #pragma once
 
 #include <array>
@@ -10,86 +10,93 @@
 
 namespace hibiscuspick::limits {
 
-// How many of a server's connections an attempt may take when slots are not
-// counted, and how many are kept ready.
+// How many connections to a server this instance may use, and how many it opens
+// in advance.
 struct ConnectionPolicy {
-  // Connections kept for instances that do not own the group.
+  // Connections to each server reserved for instances that do not own the
+  // group.
   int reserve = 5;
-  // Whether this instance owns the group: an owner may use all connections
-  // but the reserve, any other instance only the reserve.
+  // Whether this instance owns the group. An owner may use all connections but
+  // the reserve, any other instance only the reserve.
   bool owner = true;
-  // Opened ahead at each server.
+  // Connections opened in advance to each server.
   int warm = 2;
-  // For making one.
+  // Timeout for opening one connection.
   Millis connect_timeout{250};
 };
 
 struct HedgePolicy {
   bool enabled = true;
-  // The least urgent lane that is hedged.
+  // The least urgent lane whose attempts are hedged.
   Lane lowest_lane = Lane::kInteractive;
-  // A second attempt starts after this quantile of the lane's recent latency,
-  // but never before `min`.
+  // The hedge starts after this quantile of the lane's recent latency, but no
+  // earlier than `min_delay`.
   double quantile = 0.9;
   Millis min{2};
-  // Used while too few latencies are known.
+  // Delay used until enough latencies have been measured.
   Millis cold{50};
-  // Whether an urgent hedge that finds no free slot goes first in line for the
-  // next one; otherwise it is dropped.
+  // Whether an urgent hedge that finds no free slot is queued ahead of all
+  // other tasks. Otherwise it is dropped.
   bool first_in_line = true;
 };
 
 struct RetryPolicy {
-  // Attempts of one task handed to a socket, hedges included.
+  // Maximum attempts sent for one task, hedges included.
   int max_attempts = 4;
-  // How long a server gets nothing after it shed or could not be reached;
-  // chosen at random between half and the whole of it.
+  // Backoff: a server gets no attempts for this long after it shed one or could
+  // not be connected to. The actual pause is random, between half and all of
+  // it.
   Millis pause{10};
 };
 
-// Hedges and retries draw on one budget, so that they vanish under overload.
+// Hedges and retries share one budget, so that they stop under overload.
 struct BudgetPolicy {
-  // Extra attempts allowed as a share of first attempts.
+  // Tokens credited for each first attempt.
   double share = 0.05;
-  // Extra attempts saved up at most, and there at the start.
+  // Capacity of the bucket, which starts full.
   double burst = 10;
-  // Regained each second without traffic, so that a quiet group can retry.
+  // Tokens credited each second regardless of traffic, so that a group with
+  // little traffic can still retry.
   double per_second = 1;
 };
 
 struct LanePolicy {
-  // The least share of starts while others wait, and the tasks that may wait.
+  // Minimum share of the starts while tasks of other lanes are queued.
   double min_share = 0;
-  // Guards memory; what can't be done in time is refused earlier than this.
+  // Maximum queued tasks. It bounds memory; admission control usually refuses
+  // tasks well before this.
   size_t queue_limit = 2048;
 };
 
 struct EjectionPolicy {
-  // Failures in a row after which a server is ejected.
+  // Consecutive failures after which a server is ejected.
   int failures = 5;
-  // At most this share of the group's servers is ejected at once.
+  // Maximum share of the group's servers ejected at the same time.
   double max_share = 0.5;
-  // The first ejection's length; doubles each time up to `max_span`.
+  // Duration of the first ejection. It doubles with each further one up to
+  // `max_duration`.
   Millis span{1000};
   Millis max_span{30000};
 };
 
-// Where bulk attempts must leave one slot to the lanes above: nowhere, on one
-// of the servers that the shard may go to, on every server, or on every server
-// only while bulk attempts take much longer than urgent ones (else on one).
+// Where bulk attempts must leave one slot free for more urgent lanes: nowhere,
+// on one of the shard's servers, on every server, or adaptively: on every
+// server while bulk attempts take much longer than urgent ones, else on one.
 enum class BulkRule { kNone, kOneOfServers, kEachServer, kByLength };
 
 struct GroupPolicy {
-  // Counts each server's slots exactly and never starts more. Off: attempts
-  // are bounded by connections alone and wait at the server.
+  // Limits the attempts in flight at each server to its slots. Off: attempts
+  // are bounded by connections alone and queue at the server.
   bool slots_enabled = true;
-  // Lanes with earliest deadline first. Off: first come, first served.
+  // Queues by lane, earliest deadline first. Off: one queue, first come, first
+  // served.
   bool lanes_enabled = true;
-  // Needs slots and lanes.
+  // Applies only while slots and lanes are enabled.
   BulkRule bulk_rule = BulkRule::kByLength;
-  // The better of two servers by load and latency. Off: any at random.
+  // Picks the better of two random servers by load and latency. Off: one random
+  // server.
   bool choice_enabled = true;
-  // Refuses at the door what cannot be done by its deadline.
+  // Refuses on arrival tasks that cannot meet their deadline.
   bool refusal_enabled = true;
   ConnectionPolicy connections;
   HedgePolicy hedge;
@@ -99,20 +106,21 @@
       LanePolicy{0, 1024}, LanePolicy{0.10, 2048}, LanePolicy{0.05, 2048},
       LanePolicy{0.05, 4096}};
   EjectionPolicy ejection;
-  // How long a server that joined or came back is spared.
+  // Duration of the slow start of a server that joined or was restored.
   Millis slow_start{10000};
-  // How long after an attempt's deadline its slot is still counted, when its
-  // end was not seen.
+  // How long after the deadline of an abandoned attempt its slot stays in use
+  // if the end of the attempt is not observed.
   Millis slot_grace{5};
-  // How long "does not hold the version" is believed.
+  // How long a server's report of the versions it holds is used.
   Millis held_memory{1000};
-  // How long a server that said it drains, without naming its incarnation,
-  // gets nothing.
+  // How long a server that reported a drain without its incarnation gets no new
+  // attempts.
   Millis drain_memory{600000};
 };
 
-// The baseline: no slots, no lanes, no hedging, a replica at random, and no
-// refusal; everything waits, first come first served, at the server.
+// The baseline policy for comparisons: no slots, no lanes, no hedging, a random
+// replica and no admission control. All attempts queue at the server, first
+// come, first served.
 GroupPolicy DirectBaseline();
 
 }  // namespace hibiscuspick::limits
--- a/packages/limits/include/hibiscuspick/limits/lane_queues.h
+++ b/packages/limits/include/hibiscuspick/limits/lane_queues.h
@@ -1,4 +1,4 @@
-// The tasks that wait for a slot, by lane.
+// Queues of the tasks that wait for a slot, one per lane.
 #pragma once
 
 #include <array>
@@ -16,33 +16,33 @@
 
 namespace hibiscuspick::limits {
 
-// Indexes into GroupState::servers, ascending.
+// Indexes into GroupState::servers, in ascending order.
 using ServerSet = std::vector<uint32_t>;
 
-// A waiting attempt. Earlier in the order means started sooner.
+// A queued attempt. Entries are started in ascending order.
 struct QueueEntry {
-  // A hedge that jumps the queue sorts as false before true.
+  // False for a prioritized hedge, since false sorts before true.
   bool in_order = true;
-  // The deadline, or the time of arrival where lanes are off.
+  // The deadline, or the arrival time if lanes are disabled.
   Millis order;
   uint64_t sequence = 0;
   TaskId task;
   auto operator<=>(const QueueEntry&) const = default;
 };
 
-// Where an entry waits.
+// The position of an entry in the queues.
 struct QueuePlace {
   Lane lane = Lane::kUrgent;
   ServerSet servers;
   QueueEntry entry;
 };
 
-// Entries are kept by the servers they may go to, so that the next one for a
-// free server is found without passing over those that wait for others.
+// Entries are grouped by the set of servers they may go to, so that the next
+// entry for a free server is found without scanning entries for other servers.
 struct LaneQueue {
   std::map<ServerSet, std::set<QueueEntry>> by_servers;
   size_t size = 0;
-  // Starts owed to the lane from its guaranteed share.
+  // Starts the lane is entitled to by its minimum share and has not yet had.
   double credit = 0;
 };
 
@@ -54,12 +54,14 @@
 void Dequeue(LaneQueues* queues, const QueuePlace& place);
 size_t Waiting(const LaneQueues& queues);
 
-// Entries that would be started before one with this lane and order.
+// Counts the entries that would be started before an entry of this lane and
+// order.
 size_t CountAhead(const LaneQueues& queues, Lane lane, Millis order);
 
-// Finds the entry to start next: the most urgent lane's earliest, unless a
-// lane below has a start owed to it. `fits` tells whether some server of the
-// set has room for the lane. Nothing is taken out; credits are settled.
+// Finds the entry to start next: the earliest of the most urgent lane, unless a
+// less urgent lane has a credit of one start. `has_capacity` tells whether a
+// server of the set can take an attempt of the lane. Does not remove the entry,
+// but updates the lanes' credits.
 std::optional<QueuePlace> NextToStart(
     LaneQueues* queues, const std::array<LanePolicy, kLaneCount>& policy,
     const std::function<bool(Lane, const ServerSet&)>& fits);
--- a/packages/limits/include/hibiscuspick/limits/latency_sketch.h
+++ b/packages/limits/include/hibiscuspick/limits/latency_sketch.h
@@ -1,4 +1,4 @@
-// Recent latencies in a fixed number of buckets, for quantiles.
+// Histogram of recent latencies with logarithmic buckets, for quantiles.
 #pragma once
 
 #include <array>
@@ -8,9 +8,10 @@
 
 namespace hibiscuspick::limits {
 
-// Buckets grow by a constant factor from 0.05 ms to about 11 s, so that a
-// quantile is right to 4 per cent. Every kDecayAfter samples all counts are
-// halved: what is older than a few thousand samples has faded. 640 bytes.
+// Bucket bounds grow by a constant factor from 0.05 ms to about 11 s, so that
+// quantiles are within 4 per cent. All counts are halved after every
+// kDecayAfter samples, so that samples older than a few thousand have little
+// weight. 640 bytes.
 struct LatencySketch {
   static constexpr size_t kBuckets = 160;
   static constexpr float kDecayAfter = 2048;
@@ -21,11 +22,11 @@
 
 void AddSample(LatencySketch* sketch, Millis latency);
 
-// The latency below which the share `quantile` of the samples lies; 0 without
-// samples.
+// The latency below which the share `quantile` of the samples lies,
+// interpolated within its bucket; 0 without samples.
 Millis Quantile(const LatencySketch& sketch, double quantile);
 
-// The share of the samples that lie below `latency`; 1 without samples.
+// The share of the samples below `latency`, from 0 to 1; 1 without samples.
 double ShareBelow(const LatencySketch& sketch, Millis latency);
 
 }  // namespace hibiscuspick::limits
--- a/packages/limits/include/hibiscuspick/limits/server_state.h
+++ b/packages/limits/include/hibiscuspick/limits/server_state.h
@@ -1,4 +1,5 @@
-// What a group knows of one of its backend servers.
+// State of one backend server as observed by a group: load, latency, health and
+// drain.
 #pragma once
 
 #include <vector>
@@ -12,7 +13,7 @@
 
 namespace hibiscuspick::limits {
 
-// The index versions a server said it holds, and when it said so.
+// The index versions a server reported that it holds, and when.
 struct HeldVersions {
   std::vector<IndexVersion> versions;
   Millis learned;
@@ -20,70 +21,74 @@
 
 struct ServerState {
   settings::BackendServer config;
-  // No longer part of the service; kept while attempts refer to it.
+  // No longer part of the service; kept because attempts refer to it by index.
   bool removed = false;
-  // An operator's drain, from the configuration.
+  // Drained by an operator, from the configuration.
   bool drained = false;
-  // The server's own word, or a peer's; ends with a higher incarnation, or at
-  // `draining_until` if no incarnation was named.
+  // Draining as reported by the server itself or a peer. Ends with a higher
+  // incarnation, or at `draining_until` if the report named no incarnation.
   bool draining = false;
   Millis draining_until;
   Incarnation incarnation;
-  // Slots taken, among them those of attempts whose end was not seen.
+  // Slots in use, including those of abandoned attempts.
   int in_flight = 0;
   int bulk_in_flight = 0;
   int abandoned = 0;
-  // Mean latency of whole replies, recent ones weighing more; 0 if none.
+  // Exponentially weighted moving average of the latency of complete replies; 0
+  // before the first.
   Millis latency;
   Millis latency_at;
   int failures_in_row = 0;
   bool ejected = false;
   Millis ejected_until;
   int ejections = 0;
-  // Nothing is started before this, after a shed or a failed connect.
+  // No attempt is started before this time, after a shed or a failed connect.
   Millis paused_until;
-  // When the ramp began; long ago for a server that is warm.
+  // Start of the slow start; far in the past for a server that has finished it.
   Millis cold_since{-1e18};
   HeldVersions held;
 };
 
-// Whether new attempts may go there as far as draining is concerned.
+// Whether the server is neither removed nor draining.
 bool TakesNewWork(const ServerState& server, Millis now);
 
-// Connections this instance may have open to the server.
+// The number of connections this instance may have open to the server.
 int ConnectionShare(const ServerState& server, const GroupPolicy& policy);
 
-// Attempts that may run there at once, from slots or connections and the ramp.
+// The number of attempts that may run at the server at once, from its slots or
+// connections, scaled down during slow start.
 int Capacity(const ServerState& server, const GroupPolicy& policy, Millis now);
 
-// Whether an attempt may start now. `desperate` lets one attempt at a time go
-// to an ejected server, for a shard that has no other.
+// Whether an attempt may start now. An ejected server takes one attempt at a
+// time as a probe, once its ejection is over or, with `allow_probe`, earlier:
+// for a shard that has no other server.
 bool HasRoom(const ServerState& server, const GroupPolicy& policy, Millis now,
              bool desperate);
 
-// Whether bulk may take one more slot and still leave one to the others.
+// Whether bulk may take one more slot and leave one for the other lanes.
 bool HasRoomForBulk(const ServerState& server, const GroupPolicy& policy,
                     Millis now);
 
-// Whether the server recently said that it does not hold the version.
+// Whether the server recently reported that it does not hold the version.
 bool KnownToLack(const ServerState& server, IndexVersion version,
                  const GroupPolicy& policy, Millis now);
 
-// The share of its turns a server gets, from a tenth when it just joined or
-// came back to 1 when it is warm.
+// The slow start factor: the share of its normal load that the server gets,
+// growing linearly with time from a tenth to 1.
 double Warmth(const ServerState& server, const GroupPolicy& policy, Millis now);
 
-// How bad a choice the server is: its load times its latency.
+// The load balancing cost of the server: attempts in flight, plus one, times
+// average latency. Lower is better.
 double Cost(const ServerState& server, Millis now);
 
-// What a server or a peer says. An older incarnation's word is passed over, so
-// that late news cannot revive a server that drains, nor drain its next life.
-// True if anything changed.
+// Applies a report of the server's incarnation and drain state. Reports of an
+// older incarnation are ignored, so that a late one can neither end a drain nor
+// drain a restarted server. Returns whether anything changed.
 bool TakeNews(ServerState* server, Incarnation incarnation, bool draining,
               const GroupPolicy& policy, Millis now);
 
-// Ejects, for a span that doubles each time. The random part keeps many
-// instances from probing together.
+// Ejects the server for a duration that doubles each time. The jitter keeps
+// many instances from probing the server at the same moment.
 void Eject(ServerState* server, const EjectionPolicy& policy, Millis now,
            Random* random);
 
--- a/packages/limits/include/hibiscuspick/limits/shard_work.h
+++ b/packages/limits/include/hibiscuspick/limits/shard_work.h
@@ -1,5 +1,5 @@
-// What passes between the instance that took a query and the one that runs a
-// part of it: the part, and one outcome for each of its shards.
+// Messages between the instance that received a query and the instances that
+// run its parts: the request for a part, and one outcome per shard.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 struct ShardWork {
   ShardId shard;
   ServiceId service;
-  // The servers of the pinned manifest that hold it.
+  // The servers that hold the shard by the pinned manifest.
   std::vector<BackendServerId> servers;
 };
 
-// A part's number is given by the instance that took the query; together with
-// that instance's id and incarnation it is unique in the fleet for ever.
+// Identifies a part. The part id is assigned by the instance that received the
+// query; together with that instance's id and incarnation it is never reused.
 struct PartOrigin {
   InstanceId instance;
   Incarnation incarnation;
@@ -30,41 +30,41 @@
   auto operator<=>(const PartOrigin&) const = default;
 };
 
-// Some shards of one query, all from one snapshot, to be run by one instance.
+// Some shards of one query, all of one snapshot, to be run by one instance.
 struct PartRequest {
   PartOrigin origin;
-  // The service whose settings apply is each shard's own.
+  // The settings that apply are those of each shard's own service.
   CustomerId customer;
   RouteId route;
   Lane lane = Lane::kOrdinary;
   IndexVersion version;
-  // Time left when the message was written; clocks of two machines are never
-  // compared.
+  // Time left when the message was sent. A duration, because clocks of
+  // different machines are never compared.
   Millis time_left;
   uint32_t limit = 20;
-  // The caller's query, as JSON text, passed on unread.
+  // The caller's query as JSON text, forwarded without parsing.
   std::string query;
   std::vector<ShardWork> shards;
 };
 
-// One hit; `fields` is JSON text, passed on unread.
+// One hit. `fields` is JSON text, forwarded without parsing.
 struct Hit {
   std::string id;
   double score = 0;
   std::string fields;
 };
 
-// What became of one shard of a part. Only kOk counts towards coverage, and
-// only it carries hits.
+// The outcome of one shard of a part. Only kOk counts towards coverage and
+// carries hits.
 struct ShardOutcome {
   ShardId shard;
   Code code = Code::kOk;
-  // kNo only if no attempt of this shard was handed to a socket.
+  // kNo only if no attempt for this shard was sent.
   Ran ran = Ran::kMaybe;
-  // Attempts handed to a socket, hedges and retries included.
+  // Attempts sent, hedges and retries included.
   uint32_t attempts = 0;
   std::vector<Hit> hits;
-  // With kVersionNotHeld: the versions the servers said they hold.
+  // With kVersionNotHeld: the versions that the servers reported.
   std::vector<IndexVersion> held;
 };
 
--- a/packages/limits/src/group.cc
+++ b/packages/limits/src/group.cc
@@ -28,8 +28,8 @@
   return set;
 }
 
-// A server's new configuration. At another address another process answers, of
-// which nothing is known yet.
+// Applies a server's new configuration. A new address means a new process, so
+// the state learned about the old one is reset.
 void Reconfigure(ServerState* server, const settings::BackendServer& config,
                  Millis now) {
   const bool moved = server->config.address != config.address;
@@ -44,7 +44,7 @@
   server->config = config;
 }
 
-// Takes in one server's configuration; gives its index.
+// Adds or updates one server and returns its index.
 uint32_t TakeConfig(GroupState* state, const settings::BackendServer& config,
                     Millis now) {
   const auto next = static_cast<uint32_t>(state->servers.size());
@@ -55,7 +55,8 @@
   }
   ServerState fresh;
   fresh.config = config;
-  // At this instance's own start all servers are new to it, yet warm.
+  // At the start of this instance all servers are new to it, but they are not
+  // starting themselves, so that slow start does not apply.
   if (state->configured) fresh.cold_since = now;
   state->servers.push_back(std::move(fresh));
   return next;
@@ -79,16 +80,17 @@
   TaskDone done;
   done.task = work.task;
   done.code = code;
-  // No attempt was made: the task never got as far as the queue.
+  // The task was never queued, so no attempt was made.
   done.ran = Ran::kNo;
   step.actions->emplace_back(done);
 }
 
-// Starts below which a lane's rate says nothing.
+// Minimum starts for a meaningful rate.
 constexpr double kEnoughStarts = 20;
 
-// How long the tasks ahead in the task's own lane will take at the rate at
-// which the lane was served of late. It knows what the lanes above leave.
+// Estimates how long the tasks queued in the lane will take at its recent start
+// rate. Unlike the estimate from latency, this accounts for the capacity taken
+// by more urgent lanes.
 Millis WaitByRate(const Step& step, const TaskState& task) {
   const GroupState& state = *step.state;
   const Lane lane = state.policy.lanes_enabled ? task.work.lane : Lane::kUrgent;
@@ -100,8 +102,8 @@
   return Millis(static_cast<double>(state.queues.lanes[n].size) / rate);
 }
 
-// When a task that waits for its turn at these servers would be answered, by
-// the work ahead of it and the latencies of late.
+// Estimates when a task queued for these servers would finish, from the tasks
+// ahead of it and recent latencies.
 Millis ExpectedEnd(const Step& step, const TaskState& task) {
   const GroupState& state = *step.state;
   int capacity = 0;
@@ -122,7 +124,7 @@
   return step.now + Max(typical * turns, WaitByRate(step, task)) + typical;
 }
 
-// The code to refuse the task with, kOk to take it.
+// Returns kOk to admit the task, or the code to refuse it with.
 Code CheckAtTheDoor(const Step& step, const TaskState& task) {
   const GroupState& state = *step.state;
   const Lane lane = state.policy.lanes_enabled ? task.work.lane : Lane::kUrgent;
@@ -131,8 +133,8 @@
     return Code::kQueueFull;
   }
   if (task.work.deadline <= step.now) return Code::kDeadlineUnreachable;
-  // Work that ends too late still takes the slots of work that would not. Under
-  // overload everything would then be answered late, and nothing in time.
+  // A task that misses its deadline still uses slots that others need. Without
+  // this check, under overload every task would be answered late.
   if (state.policy.refusal_enabled &&
       ExpectedEnd(step, task) > task.work.deadline) {
     return Code::kDeadlineUnreachable;
@@ -172,8 +174,8 @@
   internal::StartWhatFits(step);
   const auto after = state.tasks.find(id);
   if (first || after == state.tasks.end() || !after->second.waits) return;
-  // Waiting its turn it would come too late to help, and take a slot from work
-  // that has had none yet.
+  // A hedge that waits in the queue would come too late to help, and would take
+  // a slot from tasks that have had no attempt yet.
   internal::UnqueueTask(step, &after->second);
   internal::ReturnIfPaid(step, &after->second.paid);
 }
@@ -190,7 +192,7 @@
       internal::ReleaseSlot(step, AttemptId(timer.id));
       return;
     case TimerKind::kServer:
-      // A pause or an ejection is over: the caller looks for work to start.
+      // A pause or an ejection is over; Tick then starts queued attempts.
       return;
   }
 }
@@ -216,8 +218,8 @@
     const bool is_new = index >= named.size();
     if (is_new) named.push_back(false);
     named[index] = true;
-    // Only an owner opens connections ahead: all instances together would use
-    // up what the servers accept.
+    // Only owners open connections in advance: if all instances did, they would
+    // exhaust the servers' connection limits.
     if (becomes_owner || (is_new && policy.connections.owner)) {
       PrepareAll(step, index);
     }
@@ -257,7 +259,8 @@
 void CancelTasks(GroupState* state, const std::vector<TaskId>& tasks,
                  Millis now, Random* random, Actions* actions) {
   const Step step{state, now, random, actions};
-  // All first: a slot that one gives up must not go to the next of them.
+  // All tasks are removed before anything is started, so that a slot freed by
+  // one is not given to another of them.
   for (const TaskId it : tasks) internal::ForgetTask(step, it);
   internal::StartWhatFits(step);
 }
--- a/packages/limits/src/group_attempts.cc
+++ b/packages/limits/src/group_attempts.cc
@@ -7,9 +7,9 @@
 namespace internal {
 namespace {
 
-// Whether the code shows that nothing of the attempt runs at the server any
-// more: a whole reply came, or nothing was sent. A wrong echo is another
-// attempt's reply; this one's work may well go on.
+// Whether the code shows that the attempt is not running at the server: a
+// complete reply came, or nothing was sent. A wrong echo is the reply to
+// another attempt, so this attempt may still be running.
 bool EndSeen(Code code) {
   switch (code) {
     case Code::kOk:
@@ -55,7 +55,7 @@
   step.state->timers.insert({at, TimerKind::kHedge, task.work.task.value});
 }
 
-// How many times longer bulk attempts must take to count as long.
+// Ratio of median latencies, bulk to urgent, above which bulk counts as long.
 constexpr double kMuchLonger = 2;
 
 void JudgeBulkLength(GroupState* state) {
@@ -66,7 +66,7 @@
       Quantile(bulk, 0.5) > Quantile(urgent, 0.5) * kMuchLonger;
 }
 
-// Whether another attempt may be made for a task whose attempt failed.
+// Whether a task may be retried after this failure.
 bool MayRetry(const Step& step, const TaskState& task, Code code) {
   GroupState& state = *step.state;
   if (!task.work.idempotent) return false;
@@ -74,9 +74,10 @@
   if (task.handed >= static_cast<uint32_t>(state.policy.retry.max_attempts)) {
     return false;
   }
-  // The server ran nothing and what it said is remembered, so that this
-  // happens once for each server and version, not for each task. It must not
-  // use up the budget just while versions change.
+  // The server did not run the attempt, and its held versions are remembered,
+  // so that this occurs once per server and version rather than per task. Such
+  // retries do not draw on the budget, which would otherwise run out whenever
+  // versions change.
   if (code == Code::kVersionNotHeld) return true;
   if (TakeBudget(&state.budget, state.policy.budget, step.now)) return true;
   ++state.counters.retries_denied;
@@ -88,13 +89,13 @@
 
 void AfterFailure(const Step& step, TaskState* task, Code code) {
   task->last_code = code;
-  // A second attempt still runs or waits, and may yet bring the answer.
+  // Another attempt is in flight or queued and may still succeed.
   if (!task->running.empty() || task->waits) return;
   if (!MayRetry(step, *task, code)) {
     FinishTask(step, task->work.task, code, {});
     return;
   }
-  // As in MayRetry, another version's server is asked free of charge.
+  // A retry after kVersionNotHeld is not charged, see MayRetry.
   task->paid = code != Code::kVersionNotHeld;
   QueueTask(step, task, AttemptKind::kRetry, false);
 }
@@ -130,14 +131,15 @@
   NoteAbandoned(step, attempt);
   ++state.counters.cancels;
   step.actions->emplace_back(CancelAttempt{id, attempt.server});
-  // Its connection is closed; the next attempt should not wait for a new one.
+  // The attempt's connection is closed. Opening a replacement now spares the
+  // next attempt the connect time.
   if (state.policy.connections.owner && state.policy.connections.warm > 0) {
     step.actions->emplace_back(PrepareConnection{attempt.server});
   }
   attempt.abandoned = true;
   ++state.servers[attempt.server].abandoned;
-  // The server may still be working on it. If the slot were given away now, the
-  // next attempt would be shed or wait behind it unseen.
+  // The server may still run the attempt. If its slot were reused now, the next
+  // attempt would be shed or queue at the server.
   state.timers.insert(
       {attempt.deadline + state.policy.slot_grace, TimerKind::kSlot, id.value});
   if (!state.policy.slots_enabled) ReleaseSlot(step, id);
@@ -182,8 +184,7 @@
   AttemptState& attempt = it->second;
   TaskState& task = state->tasks.at(attempt.task);
   const bool in_time = now < attempt.deadline;
-  // The server may have said that it drains while the attempt waited for a
-  // thread. Without this check it would still get work that was chosen before.
+  // The server may have started to drain while the attempt waited for a thread.
   const bool takes_work = TakesNewWork(state->servers[attempt.server], now);
   if (in_time && takes_work) {
     attempt.handed = true;
@@ -241,10 +242,10 @@
   } else {
     internal::AbandonAttempt(step, report.attempt);
   }
-  // Nothing was sent, so that this attempt did not run.
+  // Nothing was sent, so the attempt does not count.
   if (report.code == Code::kConnectFailed) --task.handed;
   for (const auto& version : report.held) task.held.push_back(version);
-  // The shell's own timeout may end a little before the instant.
+  // The I/O timeout may fire slightly before the deadline.
   if (now >= attempt.deadline || report.code == Code::kDeadlineExceeded) {
     internal::FinishTask(step, attempt.task, Code::kDeadlineExceeded, {});
   } else if (report.code == Code::kOk) {
--- a/packages/limits/src/group_health.cc
+++ b/packages/limits/src/group_health.cc
@@ -6,8 +6,9 @@
 namespace hibiscuspick::limits::internal {
 namespace {
 
-// An attempt given up at its deadline speaks against its server only if it ran
-// longer than this quantile of the lane; else the deadline was just short.
+// An attempt that times out counts as a failure of its server only if it ran
+// longer than this quantile of the lane's latency. Otherwise the deadline was
+// just short.
 constexpr double kSlowQuantile = 0.99;
 
 bool MayEjectOneMore(const GroupState& state) {
@@ -18,8 +19,8 @@
     ++servers;
     if (it.ejected) ++ejected;
   }
-  // A fault of this instance's own network makes every server look bad. Without
-  // the cap all would be ejected and the service would be down for nothing.
+  // A network fault at this instance makes every server look failed. Without
+  // the cap all of them would be ejected and the service would be unavailable.
   const double most = std::floor(servers * state.policy.ejection.max_share);
   return ejected + 1 <= static_cast<int>(most);
 }
@@ -89,7 +90,7 @@
       return;
     case Code::kCancelled:
     case Code::kDeadlineExceeded:
-      // Judged when the attempt was given up.
+      // Already handled by RecordAbandoned.
       return;
     case Code::kShed:
       ++step.state->counters.sheds;
@@ -111,8 +112,9 @@
   const Millis elapsed = step.now - attempt.handed_at;
   LatencySketch* sketch = &state.latency[LaneIndex(attempt.lane)];
   const bool known = sketch->total >= kEnoughSamples;
-  // Its latency would have been at least this. Left out, the losers of hedges
-  // would be missing from the tail, and the hedges come ever earlier.
+  // The elapsed time is a lower bound of the latency. Without these samples the
+  // slow attempts that lose to their hedges would be missing from the tail of
+  // the distribution, and hedges would start earlier and earlier.
   if (known && elapsed >= Quantile(*sketch, state.policy.hedge.quantile)) {
     AddSample(sketch, elapsed);
   }
--- a/packages/limits/src/group_internal.h
+++ b/packages/limits/src/group_internal.h
@@ -1,11 +1,11 @@
-// Steps shared by the files that make up the group's decisions.
+// Functions shared by the source files of group.h.
 #pragma once
 
 #include "hibiscuspick/limits/group.h"
 
 namespace hibiscuspick::limits::internal {
 
-// What every step needs of the event being handled.
+// Context of the event being handled.
 struct Step {
   GroupState* state;
   Millis now;
@@ -13,61 +13,63 @@
   Actions* actions;
 };
 
-// Samples below which a lane's latencies say nothing yet.
+// Minimum samples for a meaningful latency quantile of a lane.
 inline constexpr float kEnoughSamples = 20;
 
-// The latency quantile of the lane, or of the best known lane if it has too
-// few samples; 0 if none has enough.
+// The latency quantile of the lane or, if it has fewer than kMinSamples, of
+// another lane that has enough; 0 if none has.
 Millis LaneLatency(const GroupState& state, Lane lane, double quantile);
 
-// Starts of a lane in a millisecond, over the last second or so.
+// Recent start rate of a lane, see StartRate.
 void CountStartOf(StartRate* rate, Millis now);
 double StartsPerMilli(const StartRate& rate, Millis now);
 
-// Waiting tasks (group_queue.cc).
+// Queued tasks (group_queue.cc).
 
-// Candidates the task's next attempt may go to. A hedge goes to servers not
-// tried yet; anything else may come back to one that failed.
+// The candidates for the task's next attempt. A hedge only goes to servers not
+// tried yet; other attempts may return to a server that failed when no untried
+// one is left.
 ServerSet EligibleServers(const Step& step, const TaskState& task,
                           AttemptKind kind);
 
-// Puts the task in line, or ends it if no server may take it.
+// Queues the task, or finishes it if no server may take it.
 void QueueTask(const Step& step, TaskState* task, AttemptKind kind,
                bool first_in_line);
 
-// Takes the task out of line, if it waits.
+// Removes the task from its queue if it is queued.
 void UnqueueTask(const Step& step, TaskState* task);
 
-// Puts all waiting tasks in line again, after servers came or went.
+// Requeues all queued tasks after a change of the servers.
 void RequeueAll(const Step& step);
 
-// Gives back an extra attempt that was taken from the budget but not made.
+// Returns the token of a charged attempt that was not made.
 void ReturnIfPaid(const Step& step, bool* paid);
 
-// Starts waiting attempts while servers have room.
+// Starts queued attempts while servers have capacity.
 void StartWhatFits(const Step& step);
 
 // Attempts (group_attempts.cc).
 
-// Frees the attempt's slot and forgets it.
+// Frees the attempt's slot and removes the attempt.
 void ReleaseSlot(const Step& step, AttemptId attempt);
 
-// Nobody waits for the attempt any more: asks for its cancel and keeps its
-// slot until the end is seen.
+// Abandons an attempt that is no longer needed: requests its cancellation and
+// keeps its slot in use until its end is observed or slot_grace after its
+// deadline.
 void AbandonAttempt(const Step& step, AttemptId attempt);
 
-// Ends the task, says so, and abandons what still runs for it.
+// Finishes the task with a TaskDone and abandons its running attempts.
 void FinishTask(const Step& step, TaskId task, Code code, AttemptId winner);
 
-// As FinishTask, but nothing is said.
+// As FinishTask, but without a TaskDone.
 void ForgetTask(const Step& step, TaskId task);
 
 // Health (group_health.cc).
 
-// Takes note of what an attempt's end says about its server.
+// Updates the health of a server from the result of an attempt.
 void NoteResult(const Step& step, uint32_t server, Code code);
 
-// What an attempt that is given up now says about its server.
+// Updates latency and health from an attempt that is being abandoned.
 void NoteAbandoned(const Step& step, const AttemptState& attempt);
 
 Decision MakeDecision(const Step& step, DecisionKind kind,
--- a/packages/limits/src/group_queue.cc
+++ b/packages/limits/src/group_queue.cc
@@ -8,11 +8,12 @@
 namespace hibiscuspick::limits::internal {
 namespace {
 
-// A waiting attempt whose time left is under this quantile of the lane's
-// latency would probably end too late. Where others wait, its slot serves them
-// better: earliest deadline first would otherwise spend an overloaded lane's
-// slots on just those that can't be done any more. Where none waits, trying
-// costs nobody anything.
+// A queued task is dropped if its remaining time is below this quantile of the
+// lane's latency, since it would probably finish late. While others wait, its
+// slot is better used for them: an overloaded earliest-deadline-first queue
+// would otherwise spend its slots on tasks that are already too late. With an
+// empty queue the attempt delays nobody, so only nearly hopeless tasks are
+// dropped.
 constexpr double kHopelessBusy = 0.75;
 constexpr double kHopelessIdle = 0.05;
 
@@ -33,9 +34,8 @@
   });
 }
 
-// Whether the only servers the set offers are ejected ones. Then one attempt at
-// a time goes there all the same: a probe costs less than a shard that is
-// given up without asking.
+// Whether the set has only ejected servers. One attempt at a time is then sent
+// there as a probe, since it costs less than failing the shard without trying.
 bool IsDesperate(const Step& step, const ServerSet& set) {
   return std::all_of(set.begin(), set.end(), [&](uint32_t it) {
     const ServerState& server = step.state->servers[it];
@@ -43,7 +43,8 @@
   });
 }
 
-// The rule for the lane's next attempt; kNone for all lanes but bulk.
+// The reservation that applies to the lane's next attempt; kNone for all lanes
+// but bulk.
 BulkRule RuleFor(const GroupState& state, Lane lane) {
   const GroupPolicy& policy = state.policy;
   const bool applies =
@@ -53,8 +54,8 @@
   return state.bulk_is_long ? BulkRule::kEachServer : BulkRule::kOneOfServers;
 }
 
-// Whether bulk holds all the slots of the set but one. As for a single server,
-// a set of one slot is the exception.
+// Whether bulk attempts use all slots of the set but one. As in
+// HasCapacityForBulk, a set with a single slot is exempt.
 bool BulkHasItsShare(const Step& step, const ServerSet& set) {
   int capacity = 0;
   int bulk = 0;
@@ -85,8 +86,8 @@
   return found;
 }
 
-// The cost of a choice. A cold server is passed over at random, more seldom as
-// it warms up, so that it does get some work to warm up by.
+// The cost of choosing the server. A server in slow start is skipped with a
+// probability that falls as it warms up, so that it gets some load.
 double CostOf(const Step& step, uint32_t index) {
   const ServerState& server = step.state->servers[index];
   const double warmth = Warmth(server, step.state->policy, step.now);
@@ -95,8 +96,8 @@
                      : Cost(server, step.now);
 }
 
-// The better of two taken at random: always taking the best would send all
-// instances to the same server at once.
+// Power of two choices: the better of two random servers. Always taking the
+// best would send all instances to the same server at once.
 uint32_t Choose(const Step& step, const ServerSet& set) {
   const size_t first = step.random->Below(set.size());
   if (!step.state->policy.choice_enabled || set.size() == 1) return set[first];
@@ -151,8 +152,8 @@
   FinishTask(step, task.work.task, code, {});
 }
 
-// Deals with the entry at the head: starts it, or puts it where it belongs if
-// servers have changed since.
+// Processes the entry at the head of the queue: drops it, queues it anew if its
+// eligible servers have changed, or starts it.
 void TakeHead(const Step& step, const QueuePlace& place) {
   TaskState& task = step.state->tasks.at(place.entry.task);
   const bool first_in_line = !place.entry.in_order;
@@ -170,8 +171,9 @@
         Choose(step, WithRoom(step, task.work.lane, place.servers)));
 }
 
-// Nothing may take the task now. A hedge is simply not made; otherwise the
-// task ends, truthfully with the versions that are held instead if that is why.
+// Handles a task that no server may take. If another attempt is running,
+// nothing more is done; otherwise the task fails, with kVersionNotHeld and the
+// held versions if that is the reason.
 void GiveUp(const Step& step, TaskState* task) {
   if (!task->running.empty()) return;
   Code code = task->last_code == Code::kOk ? Code::kNoServer : task->last_code;
--- a/packages/limits/src/lane_queues.cc
+++ b/packages/limits/src/lane_queues.cc
@@ -6,10 +6,10 @@
 namespace hibiscuspick::limits {
 namespace {
 
-// Owed starts pile up to this many while a lane waits for room.
+// Maximum credit a lane accumulates while it has no capacity.
 constexpr double kMaxCredit = 2;
 
-// The earliest entry of the lane that some server has room for.
+// The earliest entry of the lane for which a server has capacity.
 std::optional<QueuePlace> EarliestOf(
     const LaneQueue& queue, Lane lane,
     const std::function<bool(Lane, const ServerSet&)>& fits) {
@@ -49,7 +49,7 @@
 size_t CountAhead(const LaneQueues& queues, Lane lane, Millis order) {
   size_t ahead = 0;
   for (size_t i = 0; i < LaneIndex(lane); ++i) ahead += queues.lanes[i].size;
-  // Counted from the end, where new work mostly belongs.
+  // Counted from the end, since new entries mostly belong there.
   const QueueEntry after{true, order, std::numeric_limits<uint64_t>::max(), {}};
   for (const auto& it : queues.lanes[LaneIndex(lane)].by_servers) {
     size_t behind = 0;
@@ -76,8 +76,8 @@
       most_urgent = place;
       continue;
     }
-    // Passed over once more: without the share that builds up here, steady
-    // urgent load would starve the lane for good.
+    // The lane was skipped. Without this credit, steady urgent load would
+    // starve it.
     queue.credit =
         std::min(kMaxCredit, queue.credit + policy[LaneIndex(lane)].min_share);
     if (queue.credit >= 1 && !owed) owed = place;
--- a/packages/limits/src/server_state.cc
+++ b/packages/limits/src/server_state.cc
@@ -6,15 +6,16 @@
 namespace hibiscuspick::limits {
 namespace {
 
-// Weight of the newest latency in the mean.
+// Weight of a new sample in the moving average.
 constexpr double kLatencyWeight = 0.1;
-// The share of its turns that a server gets when it is quite cold.
+// Slow start factor of a server that has just joined.
 constexpr double kLeastWarmth = 0.1;
-// A latency not measured again is believed half as much after this span. A
-// server that was slow once would otherwise never be asked again while the
-// others have room, and stay slow in the books for ever.
+// The average latency of a server without new samples is halved after each such
+// time. Otherwise a server that was slow once would get no attempts while
+// others have capacity, and its average would never recover.
 constexpr Millis kLatencyHalfLife{5000};
-// Stands for the latency of a server that has none yet, so that load decides.
+// Lower bound of the latency in Cost, so that load decides between servers
+// without samples.
 constexpr double kLeastLatency = 0.1;
 constexpr int kMaxDoublings = 16;
 
@@ -51,7 +52,7 @@
   if (!TakesNewWork(server, now)) return false;
   if (now < server.paused_until) return false;
   if (server.ejected) {
-    // One attempt at a time finds out whether the server is back.
+    // One attempt at a time probes whether the server has recovered.
     const bool probe = desperate || now >= server.ejected_until;
     return probe && server.in_flight == 0;
   }
@@ -60,10 +61,9 @@
 
 bool HasRoomForBulk(const ServerState& server, const GroupPolicy& policy,
                     Millis now) {
-  // An export's attempts are long. If they held all slots, an urgent task that
-  // arrived just then would wait for one of them, and its caller would see a
-  // whole export's latency. A server of one slot is the exception: bulk would
-  // never run there.
+  // Bulk attempts are long. If they used all slots, an urgent task would wait
+  // for one of them to finish. A server with a single slot is exempt, since
+  // bulk would otherwise never run there.
   const int capacity = Capacity(server, policy, now);
   return capacity == 1 || server.bulk_in_flight < capacity - 1;
 }
@@ -97,8 +97,8 @@
         incarnation.value == 0 ? now + policy.drain_memory : kNever;
     return changed;
   }
-  // Within one life a server that drains never takes work again, so "not
-  // draining" of the same incarnation can only be old.
+  // A draining server never accepts work again within one incarnation, so a
+  // "not draining" report of the same incarnation is stale.
   if (!next_life) return false;
   if (first_word && !server->draining) return false;
   server->draining = false;
--- a/packages/limits/tests/extra_attempts_test.cc
+++ b/packages/limits/tests/extra_attempts_test.cc
@@ -5,8 +5,9 @@
 
 namespace hibiscuspick::limits {
 
-// One attempt hangs. After the latency that 95 of 100 attempts keep to, the
-// other replica is asked; its answer counts and the first attempt is cancelled.
+// One attempt hangs. Once it takes longer than the hedge quantile of recent
+// latencies, the other replica is tried; its answer counts and the first
+// attempt is cancelled.
 BOOST_AUTO_TEST_CASE(a_straggler_is_hedged) {
   GroupFixture group(2);
   group.Learn();
@@ -29,8 +30,8 @@
   BOOST_TEST((cancels[0].attempt == first[0].attempt));
 }
 
-// The straggler's hedge finds all slots taken. It gets the next one, before the
-// work that waited longer: its caller has waited the longest of all.
+// An urgent hedge finds all slots in use. It gets the next free slot, ahead of
+// tasks queued earlier: its caller has waited longest.
 BOOST_AUTO_TEST_CASE(an_urgent_hedge_goes_first_in_line) {
   GroupFixture group(2, {}, 1);
   group.Learn();
@@ -49,7 +50,8 @@
   BOOST_TEST((next[0].task == straggler[0].task));
 }
 
-// A less urgent hedge that finds no free slot is dropped, and costs nothing.
+// A less urgent hedge that finds no free slot is dropped, and its token
+// returned.
 BOOST_AUTO_TEST_CASE(an_interactive_hedge_takes_only_a_free_slot) {
   GroupFixture group(2, {}, 1);
   group.Learn();
@@ -65,8 +67,7 @@
   BOOST_TEST(group.state.counters.hedges == 0u);
 }
 
-// A claim is being recorded and the server is slow. A second attempt would
-// record it twice.
+// A slow server is running a record. A hedge would store the record twice.
 BOOST_AUTO_TEST_CASE(a_record_is_never_hedged) {
   GroupFixture group(2);
   group.Learn();
@@ -76,8 +77,8 @@
   BOOST_TEST(group.Take<StartAttempt>().empty());
 }
 
-// Every server sheds everything for a while. Retries would multiply the load
-// just when there is too much of it; the budget lets through few.
+// Every server sheds all attempts for a while. Unbounded retries would multiply
+// the load while there is too much of it.
 BOOST_AUTO_TEST_CASE(a_shed_storm_is_not_answered_by_a_retry_storm) {
   GroupFixture group(2);
   constexpr int kTasks = 2000;
@@ -92,7 +93,7 @@
   }
   const GroupCounters& counters = group.state.counters;
   BOOST_TEST(counters.sheds == static_cast<uint64_t>(attempts));
-  // Saved up, earned by first attempts, and regained in two seconds.
+  // Initial tokens, tokens of first attempts, and two seconds' refill.
   const double allowed =
       10 + 0.05 * static_cast<double>(counters.first_attempts) + 2;
   BOOST_TEST(static_cast<double>(counters.retries) <= allowed);
@@ -103,8 +104,8 @@
   BOOST_TEST(group.state.tasks.empty());
 }
 
-// All servers turn slow at once, as when a disk is shared. Hedging every
-// attempt would double the load and keep them slow.
+// All servers become slow at once, as with a shared disk. Hedging every attempt
+// would double the load and keep them slow.
 BOOST_AUTO_TEST_CASE(hedges_vanish_when_everything_is_slow) {
   GroupFixture group(2, {}, 8);
   group.Learn();
@@ -123,8 +124,8 @@
   BOOST_TEST(share < 0.1);
 }
 
-// One replica does not hold the pinned version yet. It is asked once, and the
-// others' tasks go straight to the replica that has it.
+// One replica does not hold the pinned version yet. Only one attempt is sent to
+// it; later tasks go straight to the replica that holds the version.
 BOOST_AUTO_TEST_CASE(a_version_not_held_is_remembered) {
   GroupFixture group(2);
   const std::vector<IndexVersion> old = {IndexVersion(3), IndexVersion(4)};
@@ -148,8 +149,8 @@
   BOOST_TEST((group.state.servers[0].held.versions == old));
 }
 
-// No replica holds the pinned version any more. The query must learn which ones
-// are held, to start again on a newer one.
+// No replica holds the pinned version any more. The query needs the versions
+// that are held, to restart on a newer one.
 BOOST_AUTO_TEST_CASE(a_version_held_nowhere_names_what_is_held) {
   GroupFixture group(2);
   const std::vector<IndexVersion> newer = {IndexVersion(6)};
--- a/packages/limits/tests/group_fixture.h
+++ b/packages/limits/tests/group_fixture.h
@@ -1,4 +1,4 @@
-// A group under virtual time, with the actions it asks for.
+// A group with virtual time that collects the requested actions.
 #pragma once
 
 #include <deque>
@@ -9,7 +9,7 @@
 
 namespace hibiscuspick::limits {
 
-// Drives one GroupState; `now` is set by hand.
+// Drives one GroupState. Tests set `now`.
 struct GroupFixture {
   GroupState state;
   Random random{7};
@@ -36,7 +36,7 @@
     return servers;
   }
 
-  // A task over all servers, or the named ones.
+  // Adds a task that all servers hold, or only the given ones.
   TaskId Add(Lane lane, Millis time_left, bool idempotent = true,
              std::vector<BackendServerId> servers = {}) {
     if (servers.empty()) {
@@ -64,8 +64,7 @@
     Tick(&state, now, &random, &actions);
   }
 
-  // The actions of one kind so far, which are then forgotten with all others
-  // of that kind.
+  // Removes the collected actions of one type and returns them.
   template <class T>
   std::vector<T> Take() {
     std::vector<T> found;
@@ -77,14 +76,14 @@
     return found;
   }
 
-  // Starts asked for so far, all handed to a socket.
+  // The attempts to start that MayStart confirms, which then count as sent.
   std::vector<StartAttempt> TakeHanded() {
     auto starts = Take<StartAttempt>();
     std::erase_if(starts, [this](auto& it) { return !Hand(it.attempt); });
     return starts;
   }
 
-  // Makes the group know that attempts take about 5 ms.
+  // Feeds the group latency samples of 5 ms.
   void Learn(int n = 100) {
     for (int i = 0; i < n; ++i) {
       Add(Lane::kUrgent, Millis(1000));
--- a/packages/limits/tests/group_test.cc
+++ b/packages/limits/tests/group_test.cc
@@ -11,7 +11,7 @@
 namespace hibiscuspick::limits {
 namespace {
 
-// How an attempt that fails is dealt with, by code.
+// How a failed attempt is handled, by code.
 struct FailureRow {
   Code code;
   bool idempotent;
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-// An attempt breaks in one of the ways a backend server can break it. A query's
-// shard is asked again elsewhere; a record never is, since its user would find
-// the claim twice. A slot whose attempt may still run stays taken.
+// An attempt fails in each way a backend server can fail it. A query's attempt
+// is retried at another server; a record's is not, since the record could be
+// stored twice. The slot of an attempt that may still be running stays in use.
 BOOST_DATA_TEST_CASE(a_failed_attempt, bdata::make(kFailures), row) {
   GroupFixture group(2);
   group.Add(Lane::kUrgent, Millis(200), row.idempotent);
@@ -64,8 +64,8 @@
   BOOST_TEST(SlotsInUse(group.state) == 0);
 }
 
-// Two servers of two slots get more work than they can run. Starting a fifth
-// attempt would make a server shed it, or hold it unseen behind the others.
+// Two servers of two slots each get more work than they can run. A server would
+// shed a fifth attempt or queue it out of the scheduler's sight.
 BOOST_AUTO_TEST_CASE(slots_are_never_exceeded) {
   GroupFixture group(2);
   for (int i = 0; i < 10; ++i) group.Add(Lane::kUrgent, Millis(200));
@@ -77,8 +77,9 @@
   BOOST_TEST(SlotsInUse(group.state) == 4);
 }
 
-// A server accepts an attempt and never answers. Its caller is told at the
-// deadline; the slot stays counted until then, since the server still works.
+// A server accepts an attempt and never answers. The task fails at its
+// deadline; the slot stays in use until then plus the grace, since the server
+// may still be working.
 BOOST_AUTO_TEST_CASE(a_hung_attempt_holds_its_slot_until_the_deadline) {
   GroupPolicy policy;
   policy.hedge.enabled = false;
@@ -101,8 +102,8 @@
   BOOST_TEST(SlotsInUse(group.state) == 1);
 }
 
-// A caller hangs up. Its attempt's slot comes free as soon as the server says
-// that it stopped, and not before.
+// A caller disconnects. The slot of its attempt is freed when the server
+// confirms the cancellation, and not before.
 BOOST_AUTO_TEST_CASE(a_confirmed_cancel_frees_the_slot) {
   GroupFixture group(1, {}, 1);
   const TaskId task = group.Add(Lane::kUrgent, Millis(200));
@@ -117,8 +118,9 @@
   BOOST_TEST(group.Take<StartAttempt>().size() == 1u);
 }
 
-// A server says that it drains between the choice and the socket. The attempt
-// must go elsewhere, and the task that has only that server ends unrun.
+// A server reports a drain after an attempt was assigned to it but before it
+// was sent. The attempt must not be sent, and a task that has only that server
+// fails without having run.
 BOOST_AUTO_TEST_CASE(a_drain_is_seen_at_the_last_moment) {
   GroupFixture group(2);
   const BackendServerId leaving("b0");
@@ -140,8 +142,8 @@
   BOOST_TEST((done[0].code == Code::kOk));
 }
 
-// A reply's whole body arrives after the deadline, before the timer ran. The
-// caller was promised an answer by then; it is not counted as one.
+// A complete reply arrives after the deadline but before the timer ran. It must
+// not count as an answer.
 BOOST_AUTO_TEST_CASE(a_reply_after_the_deadline_does_not_count) {
   GroupFixture group(1);
   group.Add(Lane::kUrgent, Millis(100));
--- a/packages/limits/tests/lanes_test.cc
+++ b/packages/limits/tests/lanes_test.cc
@@ -12,7 +12,7 @@
 namespace hibiscuspick::limits {
 namespace {
 
-// Work that keeps coming in and is answered 5 ms after its start.
+// A continuous load of tasks whose attempts finish 5 ms after their start.
 struct Stream {
   GroupFixture* group;
   std::map<TaskId, Lane> lane_of;
@@ -25,7 +25,8 @@
     ++added[lane];
   }
 
-  // One millisecond: ends what is due, starts what may start.
+  // Advances by one millisecond: finishes attempts that are due and starts new
+  // ones.
   void Step() {
     group->Advance(Millis(1));
     std::erase_if(running, [this](auto& it) {
@@ -42,8 +43,8 @@
   }
 };
 
-// Who overloads the group, and how many of a thousand starts each lane is sure
-// to get.
+// The lane that overloads the group, and the minimum number of starts in a
+// thousand that another lane must get.
 struct OverloadRow {
   Lane flooding;
   Lane other;
@@ -63,14 +64,14 @@
 
 }  // namespace
 
-// An export floods the group with one and a half times what it can do, while
-// fraud checks go on coming. Each of them must be answered, and the export must
-// go on too.
+// A bulk export offers one and a half times the group's capacity while fraud
+// checks keep arriving. Every fraud check must be answered, and the export must
+// make progress.
 BOOST_AUTO_TEST_CASE(bulk_overload_does_not_hold_up_urgent_work) {
   GroupFixture group(2);
   group.Learn();
   Stream stream{&group, {}, {}, {}, {}};
-  // Two servers of two slots do 800 attempts in a thousand milliseconds.
+  // Two servers of two slots complete 800 attempts in a thousand milliseconds.
   for (int i = 0; i < 1000; ++i) {
     stream.Add(Lane::kBulk, Millis(2000));
     if (i % 5 == 0) stream.Add(Lane::kUrgent, Millis(60));
@@ -81,8 +82,8 @@
   BOOST_TEST(stream.answered[Lane::kBulk] > 400);
 }
 
-// A lane floods the group for a long time. Without its guaranteed share the
-// lane below would never be started, and its users would see it hang.
+// A lane overloads the group for a long time. Without its minimum share, the
+// less urgent lane would starve.
 BOOST_DATA_TEST_CASE(no_lane_starves, bdata::make(kOverloads), row) {
   GroupPolicy policy;
   policy.refusal_enabled = false;
@@ -97,8 +98,8 @@
   BOOST_TEST(stream.answered[row.flooding] > 5 * stream.answered[row.other]);
 }
 
-// An export fills every slot it is given. One of each server's slots is always
-// left, so that a fraud check need not wait for an export's long attempt.
+// An export uses every slot it may. One slot of each server stays free, so that
+// a fraud check does not wait for a long bulk attempt.
 BOOST_AUTO_TEST_CASE(bulk_never_holds_the_last_slot) {
   GroupFixture group(2);
   for (int i = 0; i < 10; ++i) group.Add(Lane::kBulk, Millis(5000));
@@ -107,8 +108,9 @@
   BOOST_TEST(group.TakeHanded().size() == 1u);
 }
 
-// Bulk attempts prove to be as short as urgent ones. Then one slot of both
-// servers is enough to spare, and the export need not go slower for nothing.
+// Bulk attempts turn out to be as short as urgent ones. One free slot over both
+// servers is then enough, and a larger reservation would slow the export for
+// nothing.
 BOOST_AUTO_TEST_CASE(short_bulk_attempts_spare_one_slot_of_the_group) {
   GroupFixture group(2);
   group.Learn();
@@ -122,7 +124,7 @@
   BOOST_TEST(group.TakeHanded().size() == 3u);
 }
 
-// On servers of one slot that rule would keep an export out for ever.
+// On single-slot servers the reservation would block bulk for ever.
 BOOST_AUTO_TEST_CASE(bulk_runs_on_single_slot_servers) {
   GroupFixture group(2, {}, 1);
   for (int i = 0; i < 3; ++i) group.Add(Lane::kBulk, Millis(5000));
@@ -142,8 +144,8 @@
   BOOST_TEST((next[0].task == sooner));
 }
 
-// More work waits than can be done in time. The caller is refused at once
-// instead of after its deadline, and told truthfully that nothing ran.
+// More tasks are queued than can be finished in time. A new task is refused at
+// once rather than after its deadline, and `ran` is kNo.
 BOOST_AUTO_TEST_CASE(what_cannot_be_done_in_time_is_refused_at_the_door) {
   GroupFixture group(2);
   group.Learn();
@@ -158,7 +160,7 @@
   BOOST_TEST(done[0].attempts == 0u);
 }
 
-// A lane's queue is full. Memory stays bounded and the caller knows at once.
+// A task for a full lane queue is refused at once, so that memory is bounded.
 BOOST_AUTO_TEST_CASE(a_full_queue_refuses) {
   GroupPolicy policy;
   policy.lanes[LaneIndex(Lane::kOrdinary)].queue_limit = 3;
@@ -174,7 +176,8 @@
   BOOST_TEST(group.Take<TaskDone>().empty());
 }
 
-// The baseline: everything goes to the server at once, in order of arrival.
+// The baseline policy sends all tasks to the servers at once, in order of
+// arrival, up to the number of connections.
 BOOST_AUTO_TEST_CASE(the_baseline_counts_no_slots) {
   GroupPolicy policy = DirectBaseline();
   policy.connections.reserve = 4;
--- a/packages/limits/tests/random_events_test.cc
+++ b/packages/limits/tests/random_events_test.cc
@@ -29,7 +29,7 @@
                              Code::kDeadlineExceeded,
                              Code::kReplyTooLarge};
 
-// Feeds a group events in a random order and keeps its own books beside it.
+// Feeds a group random events and checks its state against a model.
 class Storm {
  public:
   explicit Storm(uint64_t seed) : chance_(seed), group_(kServers, {}, kSlots) {}
@@ -65,7 +65,7 @@
     Check();
   }
 
-  // Lets all deadlines pass.
+  // Advances past all deadlines and checks that nothing is left.
   void Settle() {
     group_.Advance(Millis(10000));
     CarryOut();
@@ -156,7 +156,7 @@
   void OnStart(const StartAttempt& start) {
     BOOST_REQUIRE(ids_.insert(start.attempt).second);
     BOOST_REQUIRE(!gone_.contains(start.task));
-    // Some workers come to the socket only after other events.
+    // Some workers call MayStart only after other events.
     if (chance_.Below(3) == 0) {
       late_.push_back(start);
     } else {
@@ -185,7 +185,7 @@
 
   void OnDone(const TaskDone& done) {
     const auto open = open_.find(done.task);
-    // Given once, and never for a task that was cancelled.
+    // A task finishes once, and never after it was cancelled.
     BOOST_REQUIRE((open != open_.end()));
     const int handed = open->second.handed;
     BOOST_REQUIRE((done.ran == Ran::kNo) == (handed == 0));
@@ -212,7 +212,7 @@
   GroupFixture group_;
   std::map<TaskId, Open> open_;
   std::map<AttemptId, TaskId> running_;
-  // Tasks that nobody wants any more.
+  // Cancelled tasks.
   std::set<TaskId> gone_;
   std::vector<AttemptId> cancelled_;
   std::vector<StartAttempt> late_;
@@ -221,9 +221,9 @@
 
 }  // namespace
 
-// Failures, cancels, drains and deadlines come in any order, several at once.
-// Whatever the order, a slot is never given twice or lost, a task ends once, a
-// record runs once at most, and "did not run" is said of nothing that did.
+// Failures, cancels, drains and deadlines occur in random order. In every order
+// slots are neither exceeded nor leaked, each task finishes once, a record is
+// sent at most once, and `ran` is kNo only if nothing was sent.
 BOOST_DATA_TEST_CASE(any_order_of_events, bdata::xrange(1, 41), seed) {
   Storm storm(static_cast<uint64_t>(seed));
   for (int i = 0; i < kEvents; ++i) storm.Step();
--- a/packages/limits/tests/servers_test.cc
+++ b/packages/limits/tests/servers_test.cc
@@ -18,7 +18,7 @@
   return n;
 }
 
-// News of a server in the order in which it comes in.
+// Drain reports of one server in order of arrival: incarnation and draining.
 struct NewsRow {
   const char* name;
   std::vector<std::pair<uint64_t, bool>> news;
@@ -31,18 +31,24 @@
 
 const NewsRow kNews[] = {
     {"drains", {{4, true}}, false},
-    {"drains, old word of its former life", {{4, true}, {3, false}}, false},
-    {"drains, late word of the same life", {{4, true}, {4, false}}, false},
-    {"drains, then a new life", {{4, true}, {5, false}}, true},
-    {"a new life, late drain of the old", {{5, false}, {4, true}}, true},
-    {"drains without a life, late word", {{0, true}, {0, false}}, false},
-    {"drains without a life, then one", {{0, true}, {7, false}}, true},
+    {"drains, stale report of the previous incarnation",
+     {{4, true}, {3, false}},
+     false},
+    {"drains, stale report of the same incarnation",
+     {{4, true}, {4, false}},
+     false},
+    {"drains, then a new incarnation", {{4, true}, {5, false}}, true},
+    {"new incarnation, late drain of the old", {{5, false}, {4, true}}, true},
+    {"drains without incarnation, stale report",
+     {{0, true}, {0, false}},
+     false},
+    {"drains without incarnation, then one", {{0, true}, {7, false}}, true},
 };
 
 }  // namespace
 
-// Word of a server comes late, twice or out of order. Old word must neither
-// send new work to a server that is leaving, nor keep its next life out.
+// Drain reports arrive late, twice or out of order. A stale report must neither
+// send new work to a draining server nor keep its next incarnation out of use.
 BOOST_DATA_TEST_CASE(news_of_a_server, bdata::make(kNews), row) {
   GroupFixture group(1);
   for (const auto& it : row.news) {
@@ -52,8 +58,8 @@
   BOOST_TEST(TakesNewWork(group.state.servers[0], group.now) == row.takes_work);
 }
 
-// All servers seem to fail, though it is this instance's own network. Ejecting
-// them all would turn a passing fault into an outage.
+// All servers seem to fail because of a fault in this instance's own network.
+// Ejecting all of them would turn a transient fault into an outage.
 BOOST_AUTO_TEST_CASE(ejection_is_capped) {
   GroupFixture group(5);
   for (int i = 0; i < 200; ++i) {
@@ -67,8 +73,8 @@
   BOOST_TEST(CountEjected(group.state) == 2);
 }
 
-// One server fails all its attempts. After a few it gets no more, but for one
-// at a time that finds out whether it is back.
+// One server fails all its attempts. After a few failures it only gets one
+// probe at a time, until it recovers.
 BOOST_AUTO_TEST_CASE(a_failing_server_is_ejected_and_taken_back) {
   GroupFixture group(2);
   int to_bad = 0;
@@ -97,8 +103,8 @@
   BOOST_TEST(to_bad > 100);
 }
 
-// A shard is held by an ejected server alone. Giving up unasked would miss it
-// for sure.
+// A shard has only an ejected server. Failing without a probe would lose the
+// shard even if the server has recovered.
 BOOST_AUTO_TEST_CASE(a_shard_without_another_server_probes_an_ejected_one) {
   GroupFixture group(2);
   group.state.servers[0].ejected = true;
@@ -112,8 +118,8 @@
   BOOST_TEST(group.TakeHanded().size() == 1u);
 }
 
-// A server joins with empty caches. Given its full share at once it would be
-// the straggler of every query.
+// A server joins with empty caches. With its full share of the load at once, it
+// would be the slowest server of every query.
 BOOST_AUTO_TEST_CASE(a_server_that_joins_is_spared_at_first) {
   GroupFixture group(1, {}, 4);
   Configure(&group.state, GroupFixture::Servers(2, 4), {}, group.state.policy,
@@ -128,8 +134,8 @@
   BOOST_TEST(started[1] == 4);
 }
 
-// A server is taken out of the service while work for it waits and runs. What
-// runs may finish; what waits goes to the other.
+// A server is removed from the service while tasks are queued and running. Its
+// running attempts finish; queued tasks go to the other server.
 BOOST_AUTO_TEST_CASE(a_server_that_is_removed_finishes_what_runs) {
   GroupFixture group(2, {}, 1);
   for (int i = 0; i < 4; ++i) group.Add(Lane::kUrgent, Millis(1000));
@@ -151,7 +157,7 @@
   BOOST_TEST(answered == 4);
 }
 
-// The better of two: a server four times as slow gets the smaller part.
+// A server four times as slow as the other gets the smaller part of the load.
 BOOST_AUTO_TEST_CASE(a_slow_server_gets_less) {
   GroupPolicy policy;
   policy.hedge.enabled = false;
@@ -175,7 +181,7 @@
     BOOST_TEST(Quantile(sketch, q).count > wanted / 1.09);
     BOOST_TEST(Quantile(sketch, q).count < wanted * 1.09);
   }
-  // A change of level is followed within a few thousand samples.
+  // A change of latency shows within a few thousand samples.
   for (int i = 0; i < 8000; ++i) AddSample(&sketch, Millis(1));
   BOOST_TEST(Quantile(sketch, 0.95).count < 1.2);
 }
