--- a/packages/routing/include/hibiscuspick/routing/ask_budget.h
+++ b/packages/routing/include/hibiscuspick/routing/ask_budget.h
@@ -1,25 +1,26 @@
-// The bound on asking again elsewhere because an owner was silent.
+// Token bucket that bounds the shards reassigned to another instance because
+// the first one timed out.
 #pragma once
 
 #include <cstddef>
 
 namespace hibiscuspick::routing {
 
-// Earns a fraction of a shard for each shard asked the first time and pays a
-// whole one for each asked again. Under overload every owner is slow; without
-// the bound each silence would double the load just then, which one would
-// notice as latency that does not come down when traffic does.
+// Credits a fraction of a token for each shard requested and charges one token
+// for each shard reassigned. Under overload every owner is slow; without the
+// bound each timeout would double the load, and latency would stay high after
+// the traffic has fallen.
 struct AskBudget {
   double share = 0.1;
-  // Also what a fresh instance starts with: enough for a lost owner of many
-  // shards before the first earnings.
+  // Capacity, and the initial number of tokens: enough for the loss of an owner
+  // of many shards soon after the start.
   double most = 2000;
   double left = 2000;
 };
 
 void Earn(AskBudget* budget, size_t shards);
 
-// Takes the whole price or nothing.
+// Takes one token per shard. Returns false and takes none if there are too few.
 bool Spend(AskBudget* budget, size_t shards);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/customer_limits.h
+++ b/packages/routing/include/hibiscuspick/routing/customer_limits.h
@@ -1,5 +1,5 @@
-// How much of this instance one customer may use: a rate and a number of
-// requests at once. Pure; the shell holds the lock.
+// Rate and concurrency limits per customer on this instance. No I/O or locks:
+// the caller synchronizes access.
 #pragma once
 
 #include <cstddef>
@@ -13,10 +13,11 @@
 
 namespace hibiscuspick::routing {
 
-// Of one customer; 0 of either lets none in. Without values, no limit.
+// Limits of one customer. A rate or concurrency of 0 admits no request; the
+// defaults admit all.
 struct CustomerRules {
   double requests_per_second = std::numeric_limits<double>::infinity();
-  // Requests that may come at once after a quiet time; at least one may.
+  // Capacity of the token bucket, in requests; at least one.
   double burst = 1;
   uint32_t concurrency = std::numeric_limits<uint32_t>::max();
 };
@@ -27,20 +28,20 @@
   uint32_t running = 0;
 };
 
-// Names come from a header that anyone can fill, so their number is bounded:
-// customers with nothing running and a full bucket are forgotten, which loses
-// nothing, and when the table is still full all further names share one entry.
+// Customer names come from a request header, so the table is bounded. When it
+// is full, idle customers with a full bucket are evicted, which loses no state;
+// if it is still full, further customers share one overflow entry.
 struct CustomerLimits {
   size_t max_customers = 10000;
   std::unordered_map<CustomerId, CustomerUse> uses;
   Millis swept;
 };
 
-// Admits a request, to be paired with Release, or gives the time after which a
-// retry may be admitted.
+// Admits a request, which must be paired with Release, or returns the time
+// after which a retry may be admitted.
 struct Admission {
   bool admitted = false;
-  // The entry to release: the customer, or the shared one.
+  // The entry to release: the customer, or the overflow entry.
   CustomerId entry;
   Millis retry_after;
 };
--- a/packages/routing/include/hibiscuspick/routing/held_versions.h
+++ b/packages/routing/include/hibiscuspick/routing/held_versions.h
@@ -1,5 +1,5 @@
-// Which index versions backend servers are known not to hold, learnt from
-// their 409 answers, and the choice of the manifest to pin.
+// Cache of the index versions that backend servers do not hold, learnt from
+// their 409 replies, and the choice of the manifest to pin.
 #pragma once
 
 #include <cstddef>
@@ -13,41 +13,43 @@
 
 namespace hibiscuspick::routing {
 
-// A shard's servers answered that they hold only these versions.
+// The only versions that a shard's servers reported to hold.
 struct HeldReport {
   std::vector<IndexVersion> held;
   Millis seen;
 };
 
-// Holds only shards that refused a version lately: in quiet times it is empty.
+// Reports by shard. Only shards that recently refused a version have one.
 struct HeldVersions {
   std::unordered_map<ShardId, HeldReport> reports;
 };
 
-// A report is forgotten after this long, since servers load new versions
-// without telling.
+// Lifetime of a report. Servers load new versions without notifying this
+// instance.
 inline constexpr Millis kHeldMemory{5000};
 
-// Shards remembered at most; more are passed over.
+// Maximum reports; further ones are ignored.
 inline constexpr size_t kMaxHeldReports = 10000;
 
-// Takes in a refusal: the servers of `shard` do not hold `asked`.
+// Records a refusal: the servers of `shard` do not hold version `asked` but
+// hold `versions`.
 void LearnRefused(HeldVersions* held, const ShardId& shard, IndexVersion asked,
                   std::vector<IndexVersion> versions, Millis now);
 
-// Takes in a whole reply for `version`: a report that denies it is out of date.
+// Records a complete reply for `version`, which invalidates a report without
+// that version.
 void LearnAnswered(HeldVersions* held, const ShardId& shard,
                    IndexVersion version);
 
 void ForgetOld(HeldVersions* held, Millis now);
 
-// The share of the plan's documents, 0 to 1, on shards that are not known to
-// have refused its version.
+// The share of the plan's documents, 0 to 1, on shards without a report that
+// refuses its version.
 double PresumedShare(const Plan& plan, const HeldVersions& held, Millis now);
 
-// The index of the plan to pin: the greatest presumed share, and of equal ones
-// the newest. Plans with a version in `tried` are left out; none if no plan is
-// left.
+// Returns the index of the plan to pin: the one with the greatest expected
+// coverage, the newest of equal ones. Skips plans without shards and plans of a
+// version in `tried`; nullopt if none is left.
 std::optional<size_t> ChoosePlan(const Plans& plans, const HeldVersions& held,
                                  const std::vector<IndexVersion>& tried,
                                  Millis now);
--- a/packages/routing/include/hibiscuspick/routing/merge.h
+++ b/packages/routing/include/hibiscuspick/routing/merge.h
@@ -1,4 +1,4 @@
-// The merge of shards' hits into one list.
+// Merges the hits of all shards into one ranked list.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,14 @@
   ShardId shard;
 };
 
-// Highest score first, ties by id, cut to `limit`. A shard's id comes once,
-// with its best score. The same id in two shards is two documents: index
-// families number theirs apart from each other, and dropping one would lose a
-// hit.
+// Sorts by descending score, then id, and truncates to `limit`. A repeated id
+// within a shard is returned once, with its best score. The same id in two
+// shards is two documents, since each index family numbers its own.
 std::vector<AnswerHit> MergeHits(std::vector<AnswerHit> hits, uint32_t limit);
 
-// Whether a shard's hits can be merged: scores are numbers, ids not empty. A
-// score that is not a number has no place in any order and would make the
-// sort's result, and so the answer, depend on chance.
+// Whether a shard's hits can be merged: all scores are finite and all ids
+// non-empty. NaN scores have no order, so that the result of sorting them would
+// be undefined.
 bool AreHitsSound(const std::vector<limits::Hit>& hits);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/plan.h
+++ b/packages/routing/include/hibiscuspick/routing/plan.h
@@ -1,5 +1,5 @@
-// What a route covers in one manifest: the shards to ask and the denominator
-// of coverage.
+// The part of one manifest that a route covers: its shards and the total of
+// their documents, the denominator of coverage.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
   uint64_t documents = 0;
 };
 
-// One manifest as one route sees it. Never changed once made, so that all
-// queries share it.
+// The shards of one manifest that one route covers. Immutable, and shared by
+// all queries.
 struct Plan {
-  // The operator's word for the manifest.
+  // The manifest's name, given by the operator.
   std::string snapshot_id;
   IndexVersion version;
   Revision revision;
@@ -33,11 +33,11 @@
 // The manifests a query may pin, newest first.
 using Plans = std::vector<std::shared_ptr<const Plan>>;
 
-// Gives the backend servers of a service, empty if it is not configured.
+// Returns the backend servers of a service; empty if it is not configured.
 using ServersOf = std::function<std::vector<BackendServerId>(const ServiceId&)>;
 
-// The plan of a route in a manifest. A shard whose manifest names no servers
-// gets all of its service.
+// Builds the plan of a route for a manifest. A shard without servers in the
+// manifest gets all servers of its service.
 std::shared_ptr<const Plan> MakePlan(const settings::Snapshot& snapshot,
                                      const settings::Route& route,
                                      const ServersOf& servers_of);
--- a/packages/routing/include/hibiscuspick/routing/query.h
+++ b/packages/routing/include/hibiscuspick/routing/query.h
@@ -1,5 +1,5 @@
-// One query as a pure machine: which manifest is pinned, which instance is
-// asked for which shards, what counts towards coverage, and when to answer.
+// State machine of one query, without I/O: pins a manifest, assigns shards to
+// instances, tracks coverage and decides when to answer.
 #pragma once
 
 #include <cstdint>
@@ -21,15 +21,15 @@
 
 namespace hibiscuspick::routing {
 
-// What a caller asked for, checked, with the route's values filled in.
+// A validated request, completed with the route's values.
 struct QueryRequest {
   std::string request_id;
   CustomerId customer;
   RouteId route;
-  // JSON text, passed on unread.
+  // JSON text, forwarded without parsing.
   std::string query;
   uint32_t limit = 20;
-  // From the arrival of the request.
+  // Relative to the arrival of the request.
   Millis deadline{200};
   double min_coverage = 1;
   RouteValues values;
@@ -41,7 +41,7 @@
 };
 
 struct Answer {
-  // kOk if any shard answered; else why there is nothing to give.
+  // kOk if any shard answered; otherwise the reason that none did.
   Code code = Code::kOk;
   Ran ran = Ran::kNo;
   std::string snapshot_id;
@@ -54,32 +54,33 @@
   double coverage = 0;
   std::vector<MissingShard> missing;
   std::vector<AnswerHit> hits;
-  // Attempts at backend servers as far as known. A part whose report never
-  // came counts one attempt for each of its unreported shards.
+  // Attempts at backend servers as far as known. A part without a report counts
+  // one attempt for each of its unreported shards.
   uint64_t attempts = 0;
   uint32_t restarts = 0;
-  // Parts asked again because an instance was silent or gone.
+  // Parts sent to another instance because the first one timed out or failed.
   uint32_t asked_again = 0;
   Millis took;
-  // With a refusal: when it may be worth trying again; 0 if not known.
+  // With a refusal: the time after which to retry; 0 if not known.
   Millis retry_after;
 };
 
-// Gives the instances to ask for a service's shards, best first. This
-// instance's own id stands for running the part here.
+// Returns the instances that can run a service's shards, best first. This
+// instance's own id means running the part here.
 using CandidatesOf = std::function<std::vector<InstanceId>(const ServiceId&)>;
 
-// What a query sees of the world around it while it runs.
+// The environment of a running query.
 struct QueryWorld {
   InstanceId self;
   Incarnation incarnation;
   CandidatesOf candidates;
-  // The manifests known now, newest first; asked at the start and before a
-  // restart, so that a query learns of a manifest that came while it ran.
+  // The manifests known now, newest first. Called at the start and before a
+  // restart, so that a restart uses manifests that arrived meanwhile.
   std::function<Plans()> plans;
-  // Whether the instance may spend another re-ask of this many shards on a
-  // silent owner. Without a bound, owners slow from overload would each be
-  // asked for again elsewhere, which doubles the load when it is highest.
+  // Takes tokens to reassign this many shards from an instance that timed out;
+  // false if there are too few. Without this bound, owners slow from overload
+  // would have their work repeated elsewhere, doubling the load when it is
+  // highest.
   std::function<bool(size_t shards)> may_ask_again;
 };
 
@@ -89,10 +90,10 @@
 };
 struct OutcomesArrived {
   PartId part;
-  // Empty: the instance says it is alive and still at work.
+  // Empty: a keepalive from an instance that is still working on the part.
   std::vector<limits::ShardOutcome> outcomes;
 };
-// Nothing more will come from the instance.
+// The instance will send no more outcomes.
 struct PeerFailed {
   InstanceId instance;
 };
@@ -110,14 +111,14 @@
   InstanceId at;
   PartId part;
 };
-// What an outcome told about the versions a shard's servers hold.
+// Whether a shard's servers hold a version, as learnt from an outcome.
 struct VersionSeen {
   ShardId shard;
   IndexVersion version;
   bool answered = false;
   std::vector<IndexVersion> held;
 };
-// The instance reported nothing of a part in time, or reported something.
+// Whether an instance reported on a part in time.
 struct PeerSeen {
   InstanceId instance;
   bool is_silent = false;
@@ -128,24 +129,25 @@
 using Action =
     std::variant<SendPart, CancelPart, VersionSeen, PeerSeen, Finish>;
 
-// One ask of some shards at one instance.
+// One request for some shards to one instance.
 struct PartState {
   InstanceId at;
-  // Restarts before this part; outcomes of an earlier pin only count as load.
+  // Number of restarts before this part. Outcomes of an earlier generation only
+  // count as attempts.
   uint32_t generation = 0;
-  // Indexes into the pinned plan's shards that are not yet reported.
+  // Indexes of the shards in the pinned plan that have no outcome yet.
   std::vector<size_t> waiting;
-  // When it counts as silent unless something comes; kNever for parts run here,
-  // and once its shards were asked for elsewhere.
+  // When the part times out without a report; kNever for parts run here and for
+  // parts whose shards have been reassigned.
   Millis silent_at = kNever;
   bool cancelled = false;
 };
 
 struct ShardState {
   bool answered = false;
-  // Asks now running.
+  // Parts in flight that include the shard.
   uint32_t asks = 0;
-  // Instances tried so far.
+  // Instances the shard was requested from.
   std::vector<InstanceId> tried;
   // The last failure; kOk if none yet.
   Code failure = Code::kOk;
@@ -155,7 +157,7 @@
   QueryRequest request;
   QueryId id;
   Millis started;
-  // The instant of the answer at the latest.
+  // The latest time to answer.
   Millis finish_by;
   bool finished = false;
   std::shared_ptr<const Plan> plan;
@@ -170,26 +172,27 @@
   std::vector<AnswerHit> hits;
   uint64_t attempts = 0;
   uint32_t asked_again = 0;
-  // Set when a part went to another instance or an outcome says that an
-  // attempt was handed to a socket.
+  // Set when a part was sent to another instance or an outcome says that an
+  // attempt was sent.
   bool may_have_run = false;
-  // With Prefer::kLatency: when min_coverage was reached plus the grace.
+  // With Prefer::kLatency: latency_grace after min_coverage was reached.
   Millis good_enough_at = kNever;
 };
 
-// Part numbers of one query are its id shifted by this, plus a count, so that
-// the query of a part is known without a table.
+// A part id is the query id shifted by this many bits, plus a counter, so that
+// the query of a part is known without a lookup table.
 inline constexpr int kPartBits = 16;
 QueryId QueryOf(PartId part);
 
-// A query that has not started. `arrived` is when the request was read.
+// Creates a query that has not started. `arrived` is when the request was read.
 QueryState MakeQuery(QueryRequest request, QueryId id, Millis arrived);
 
-// Moves the query on. After a Finish it takes no more events.
+// Applies an event and returns the actions to perform. Events after Finish are
+// ignored.
 std::vector<Action> Step(QueryState* state, Event event,
                          const QueryWorld& world, Millis now);
 
-// When the query next wants a Tick if nothing else happens.
+// When the query next needs a Tick if no other event occurs.
 Millis NextDue(const QueryState& state);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/query_runner.h
+++ b/packages/routing/include/hibiscuspick/routing/query_runner.h
@@ -1,5 +1,5 @@
-// The threads' side of queries: a caller's thread runs its query's machine and
-// sleeps between events that other threads bring.
+// Runs queries on their callers' threads. Each thread drives one query's state
+// machine and sleeps until other threads post events.
 #pragma once
 
 #include <array>
@@ -17,38 +17,37 @@
 
 namespace hibiscuspick::routing {
 
-// How the runner reaches the rest of the process. Any of these may call back
-// into OnOutcomes or OnPeerFailed from within.
+// Callbacks of the runner. Each may call OnOutcomes or OnPeerFailed before it
+// returns.
 struct RunnerPorts {
   std::function<void(const InstanceId& to, const limits::PartRequest& part)>
       send_part;
   std::function<void(const limits::PartRequest& part)> run_local;
   // `at` is this instance's own id for a part that runs here.
   std::function<void(const InstanceId& at, PartId part)> cancel_part;
-  // The instances to ask for a service's shards, best first, with the own id
-  // for "here"; for direct sending only the own id.
+  // The instances that can run a service's shards, best first; the own id means
+  // here. For direct sending, only the own id.
   CandidatesOf candidates;
 };
 
 class QueryRunner {
  public:
-  // `instance` and `incarnation` name this life of this instance in the fleet.
+  // `instance` and `incarnation` identify this process in the fleet.
   QueryRunner(InstanceId instance, Incarnation incarnation, RunnerPorts ports);
 
-  // Runs a query to its answer on the calling thread. `plans` gives the
-  // manifests known at that moment for the route; `stop` tells whether the
-  // caller is gone, and is asked every few milliseconds. `arrived` is when the
+  // Runs a query on the calling thread and returns its answer. `plans` returns
+  // the manifests now known for the route; `stop` tells whether the caller has
+  // disconnected and is polled every few milliseconds. `arrived` is when the
   // request was read.
   Answer Run(QueryRequest request, Millis arrived,
              const std::function<Plans()>& plans,
              const std::function<bool()>& stop);
 
-  // From any thread. Outcomes of queries that are no longer running are
-  // dropped.
+  // Thread-safe. Outcomes of queries that have ended are dropped.
   void OnOutcomes(PartId part, std::vector<limits::ShardOutcome> outcomes);
   void OnPeerFailed(const InstanceId& instance);
 
-  // Queries now running.
+  // Number of running queries.
   size_t running() const { return running_; }
 
  private:
--- a/packages/routing/include/hibiscuspick/routing/route_values.h
+++ b/packages/routing/include/hibiscuspick/routing/route_values.h
@@ -1,4 +1,4 @@
-// The tuned values of one route, resolved from the settings tree for one
+// Tuning parameters of one route, resolved from the settings tree for one
 // query.
 #pragma once
 
@@ -13,26 +13,26 @@
 struct RouteValues {
   Lane lane = Lane::kOrdinary;
   settings::Prefer prefer = settings::Prefer::kLatency;
-  // Used when the caller names none; a caller may ask for up to the maximum.
+  // Default deadline, and the maximum a caller may request.
   Millis deadline{200};
   Millis max_deadline{10000};
   uint32_t limit = 20;
   uint32_t max_limit = 1000;
-  // Share of the documents that makes an answer good enough, 0 to 1.
+  // Share of the documents, 0 to 1, at which an answer is good enough.
   double min_coverage = 1;
-  // An instance that reports nothing of its part for this long is taken for
-  // gone, and the missing shards are asked elsewhere.
+  // An instance that reports nothing on its part for this long is presumed
+  // failed, and the missing shards are requested from another.
   Millis owner_timeout{60};
-  // With Prefer::kLatency: how long to wait for more once min_coverage is
-  // there.
+  // With Prefer::kLatency: how long to wait for more shards after min_coverage
+  // is reached.
   Millis latency_grace{2};
-  // Kept back from the deadline for writing the answer.
+  // Time before the deadline reserved for writing the answer.
   Millis answer_reserve{2};
-  // How many instances one shard may be asked at, the first included.
+  // Maximum instances that one shard is requested from, including the first.
   uint32_t max_candidates = 3;
-  // How often a query may start again on another version.
+  // Maximum restarts of a query on another version.
   uint32_t max_restarts = 2;
-  // A query starts again only with at least this much time left.
+  // Minimum time left for a restart.
   Millis min_restart_time{10};
 };
 
--- a/packages/routing/include/hibiscuspick/routing/silent_peers.h
+++ b/packages/routing/include/hibiscuspick/routing/silent_peers.h
@@ -1,5 +1,5 @@
-// Which instances have lately been silent, so that not every query pays the
-// wait for an owner that hangs.
+// Tracks instances whose parts time out, so that not every query waits for an
+// owner that hangs.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 namespace hibiscuspick::routing {
 
 struct PeerSilence {
-  // Parts in a row of which nothing came in time.
+  // Consecutive parts that timed out.
   uint32_t parts = 0;
   Millis next_probe;
 };
 
-// A paused instance, or one behind a network partition, keeps its connections
-// for seconds until membership drops it. Until then each query would wait out
-// owner_timeout, which one would see as a second hump in the latencies. Holds
-// only instances that were silent since they were last heard.
+// A paused or partitioned instance keeps its connections open for seconds until
+// membership removes it. Meanwhile each query would wait for owner_timeout,
+// visible as a second peak in the latency distribution. Holds only instances
+// with a timeout since their last report.
 struct SilentPeers {
   std::unordered_map<InstanceId, PeerSilence> peers;
 };
 
-// So many silent parts in a row make an instance a suspect.
+// Consecutive timeouts after which an instance is a suspect.
 inline constexpr uint32_t kSuspectAfter = 3;
 
-// How often a suspect is asked all the same, to see whether it is back.
+// Interval at which a suspect is probed with a part.
 inline constexpr Millis kProbeEvery{250};
 
-// Instances remembered at most.
+// Maximum instances tracked; further ones are ignored.
 inline constexpr size_t kMaxSilentPeers = 1000;
 
 void NoteSilent(SilentPeers* silent, const InstanceId& peer, Millis now);
 void RecordContact(SilentPeers* silent, const InstanceId& peer);
 
-// Puts suspects behind all others, but for one that is due for a probe.
+// Moves suspects to the end of the list, except those due for a probe.
 void PutSuspectsLast(SilentPeers* silent, std::vector<InstanceId>* candidates,
                      Millis now);
 
--- a/packages/routing/src/customer_limits.cc
+++ b/packages/routing/src/customer_limits.cc
@@ -6,12 +6,12 @@
 namespace hibiscuspick::routing {
 namespace {
 
-// How often a full table is searched for customers to forget; without it a
-// flood of new names would pay for a whole search each.
+// Minimum interval between sweeps of a full table. Without it, each new name in
+// a flood would cost a sweep.
 constexpr Millis kSweepEvery{1000};
 
-// The entry of all names that find no place of their own. No customer can be
-// called so, since names from outside are printable.
+// The overflow entry. No customer can have this name, since names in requests
+// are printable.
 constexpr char kOverflowName[] = "\x01overflow";
 
 constexpr Millis kRetrySoon{1000};
@@ -27,8 +27,9 @@
   use->filled = now;
 }
 
-// Forgets customers that have been quiet for long enough to have a full bucket
-// under the rules asked with; a wrong guess costs one burst.
+// Evicts customers that have been idle long enough to have a full bucket. The
+// time is computed with the rules of the current customer; if another one's
+// rules differ, it gains at most one burst.
 void Sweep(CustomerLimits* limits, const CustomerRules& rules, Millis now) {
   if (limits->swept.count > 0 && now - limits->swept < kSweepEvery) return;
   limits->swept = now;
--- a/packages/routing/src/merge.cc
+++ b/packages/routing/src/merge.cc
@@ -19,8 +19,8 @@
 
 std::vector<AnswerHit> MergeHits(std::vector<AnswerHit> hits, uint32_t limit) {
   std::sort(hits.begin(), hits.end(), IsBefore);
-  // Room for all of them from the start: the views in `seen` point into the
-  // hits and must not move.
+  // Reserved in advance: the views in `seen` point into the hits, which must
+  // not move.
   std::vector<AnswerHit> merged;
   merged.reserve(std::min<size_t>(limit, hits.size()));
   std::set<std::pair<std::string_view, std::string_view>> seen;
--- a/packages/routing/src/query.cc
+++ b/packages/routing/src/query.cc
@@ -9,9 +9,9 @@
 namespace hibiscuspick::routing {
 namespace {
 
-// Failures of the instance asked rather than of the shard's servers: another
-// instance may do better. Everything else has been retried where it happened,
-// and refusals for lack of room must not be carried elsewhere, since all
+// Failures of the instance rather than of the shard's servers, which another
+// instance may avoid. All others have been retried by the instance itself.
+// Refusals for lack of capacity must not be retried elsewhere, since all
 // instances share the same backend servers.
 bool IsWorthAskingElsewhere(Code code) {
   switch (code) {
@@ -29,7 +29,7 @@
   }
 }
 
-// Hits kept while a query runs, in limits.
+// Hits kept while a query runs, as a multiple of its limit.
 constexpr size_t kHitsKept = 8;
 
 bool IsSettled(const ShardState& shard) {
@@ -46,14 +46,14 @@
   const PlannedShard& planned = state->plan->shards[index];
   state->shards[index].answered = true;
   ++state->shards_answered;
-  // The manifest's count, not what the server said: the denominator is made of
-  // the same numbers, so the share can't exceed 1.
+  // The manifest's count, not the server's: the denominator is the sum of the
+  // same counts, so coverage can't exceed 1.
   state->documents_covered += planned.documents;
   for (auto& it : outcome->hits) {
     state->hits.push_back({std::move(it), planned.work.shard});
   }
-  // What is already beaten by `limit` others can't come back, and keeping it
-  // would take a query over many shards some thousands of hits.
+  // Hits ranked below `limit` others are pruned. Keeping them would cost a
+  // query over many shards the memory of thousands of hits.
   if (state->hits.size() > kHitsKept * state->request.limit) {
     state->hits = MergeHits(std::move(state->hits), state->request.limit);
   }
@@ -72,9 +72,9 @@
       VersionSeen{outcome.shard, state->plan->version, false, outcome.held});
 }
 
-// The shard's place in what the part still waits for. An outcome of a shard
-// that was not asked for in this part, or that has been reported before, has
-// none, and is dropped.
+// Finds the shard among those the part still waits for. Returns nullopt for a
+// shard that was not requested in this part or has been reported already; its
+// outcome is dropped.
 std::optional<size_t> PlaceIn(const QueryState& state, const PartState& part,
                               const ShardId& shard) {
   const auto& shards = state.plan->shards;
@@ -84,8 +84,8 @@
   return std::nullopt;
 }
 
-// Takes one outcome of a part of the pinned plan. Gives the shard if it should
-// be asked for elsewhere.
+// Handles one outcome of a part of the pinned plan. Returns the shard's index
+// if it should be requested from another instance.
 std::optional<size_t> TakeOutcome(StepContext* context, PartState* part,
                                   limits::ShardOutcome* outcome) {
   QueryState* state = context->state;
@@ -113,12 +113,12 @@
   return index;
 }
 
-// Outcomes of a pin that was given up: nothing of them may enter the answer,
-// but the load they were is counted.
+// Handles outcomes of a superseded plan: only their attempts are counted,
+// nothing enters the answer.
 void CountAbandoned(StepContext* context, PartState* part,
                     const std::vector<limits::ShardOutcome>& outcomes) {
-  // The shards' places belong to the earlier plan and are not known any more,
-  // so each outcome only settles one of those waited for.
+  // The indexes refer to the earlier plan, which is gone, so each outcome just
+  // removes one of the pending shards.
   for (const auto& it : outcomes) {
     if (part->waiting.empty()) return;
     part->waiting.pop_back();
@@ -126,7 +126,7 @@
   }
 }
 
-// The documents and shards that can still be had from the pinned plan.
+// The coverage that can still be reached with the pinned plan.
 double ReachableShare(const QueryState& state) {
   uint64_t documents = 0;
   uint64_t shards = 0;
@@ -147,9 +147,9 @@
                      });
 }
 
-// Starts the whole query again on another manifest when the pinned one is no
-// longer held by enough and another promises more. Mixing the two would give
-// one document twice or not at all.
+// Restarts the query on another manifest if the pinned one is no longer held
+// widely enough and the other has a higher expected coverage. Results of the
+// two are never mixed, since a document could then appear twice or not at all.
 bool RestartIfBetter(StepContext* context) {
   QueryState* state = context->state;
   const RouteValues& values = state->request.values;
@@ -183,7 +183,7 @@
   state->good_enough_at = context->now + state->request.values.latency_grace;
 }
 
-// After every event: restart, go on waiting, or answer.
+// Runs after every event: restarts, keeps waiting or answers.
 void Conclude(StepContext* context) {
   QueryState* state = context->state;
   if (state->finished) return;
@@ -237,7 +237,7 @@
   Conclude(context);
 }
 
-// Shards of the part that nobody has answered.
+// Shards of the part that have not been answered.
 std::vector<size_t> MissingOf(const QueryState& state, const PartState& part) {
   std::vector<size_t> missing;
   for (const size_t i : part.waiting) {
@@ -258,7 +258,8 @@
     shard->failure = Code::kOwnerUnreachable;
     if (shard->asks == 0) again->push_back(i);
   }
-  // What the instance ran of the part will never be known.
+  // How many attempts the instance made for these shards is unknown; one each
+  // is counted.
   state->attempts += part->waiting.size();
   part->waiting.clear();
 }
@@ -312,7 +313,7 @@
   QueryState state;
   state.id = id;
   state.started = arrived;
-  // On a very short deadline the reserve must not eat it up.
+  // With a very short deadline the reserve must not use most of it.
   const Millis reserve =
       Min(request.values.answer_reserve, request.deadline * 0.1);
   state.finish_by = arrived + request.deadline - reserve;
--- a/packages/routing/src/query_answer.cc
+++ b/packages/routing/src/query_answer.cc
@@ -1,4 +1,4 @@
-// The answer of a query.
+// Builds the answer of a query.
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -8,10 +8,10 @@
 namespace hibiscuspick::routing {
 namespace {
 
-// Given with refusals that pass by themselves.
+// Retry-after time of transient refusals.
 constexpr Millis kRetryLater{1000};
 
-// `is_early`: the answer is given before the deadline, by choice.
+// `is_early`: the query answers before its deadline.
 Code FailureOf(const ShardState& shard, bool is_early) {
   if (shard.asks > 0) {
     return is_early ? Code::kNotWaitedFor : Code::kDeadlineExceeded;
@@ -19,8 +19,8 @@
   return shard.failure == Code::kOk ? Code::kNoServer : shard.failure;
 }
 
-// The code of an answer without any shard: that of most shards, the lowest of
-// equals.
+// The code of an answer without any shard: the most frequent code of its
+// shards; of equally frequent ones the lowest.
 Code CommonFailure(const std::vector<MissingShard>& missing) {
   std::map<Code, size_t> counts;
   for (const auto& it : missing) ++counts[it.code];
@@ -47,8 +47,8 @@
   }
 }
 
-// Whether an attempt may have been handed to a socket. A part run here that has
-// not reported yet may be doing just that.
+// Whether an attempt may have been sent. A part run here that has not reported
+// yet may have sent one.
 bool MayHaveRun(const QueryState& state) {
   if (state.may_have_run) return true;
   return std::any_of(state.parts.begin(), state.parts.end(),
--- a/packages/routing/src/query_parts.cc
+++ b/packages/routing/src/query_parts.cc
@@ -1,4 +1,4 @@
-// Asking instances for parts of a query.
+// Requests the parts of a query from instances.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -15,9 +15,9 @@
          shard.tried.end();
 }
 
-// The instance to ask next for the shard. The last try is kept for sending from
-// here: it needs no other instance, so it is the one most likely to work when
-// the others are cut off.
+// The next instance to request the shard from. The last try is reserved for
+// this instance: it depends on no other one, so it is most likely to work when
+// this instance is partitioned from the rest.
 std::optional<InstanceId> NextCandidate(
     const StepContext& context, const ShardState& shard,
     const std::vector<InstanceId>& candidates) {
--- a/packages/routing/src/query_runner.cc
+++ b/packages/routing/src/query_runner.cc
@@ -9,22 +9,22 @@
 namespace hibiscuspick::routing {
 namespace {
 
-// How often a waiting query looks whether its caller is still there.
+// How often a waiting query checks whether its caller has disconnected.
 constexpr Millis kCallerPoll{5};
 
 void LogPin(const QueryState& state) {
   if (!state.plan) return;
   Log(Part::kRoute)
-      .info("query {} of {} pins version {} with {} shards.", state.id.value,
-            state.request.route.text, state.plan->version.value,
+      .info("query {} of route {} pinned version {} with {} shards",
+            state.id.value, state.request.route.text, state.plan->version.value,
             state.plan->shards.size());
 }
 
 void LogAnswer(const QueryState& state, const Answer& answer) {
   Log(Part::kRoute)
       .info(
-          "query {} ends {} with {} of {} documents, {} attempts, {} "
-          "restarts, {} asked again, after {:.1f} ms.",
+          "query {} finished with {}: {} of {} documents, {} attempts, {} "
+          "restarts, {} parts reassigned, {:.1f} ms",
           state.id.value, CodeName(answer.code), answer.documents_covered,
           answer.documents_total, answer.attempts, answer.restarts,
           answer.asked_again, answer.took.count);
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-// Events on their way to the thread that runs the query. That thread alone
-// touches the query's state, so no event ever waits for a decision.
+// Queue of events for the thread that runs the query. Only that thread accesses
+// the query's state, so posting an event never waits for the query.
 struct QueryRunner::Inbox {
   std::mutex mutex;
   std::condition_variable wake;
@@ -122,10 +122,12 @@
   for (auto& action : *actions) {
     if (const auto* send = std::get_if<SendPart>(&action)) {
       Log(Part::kRoute)
-          .info("query {} asks {} for {} shards of version {} as part {}.",
-                QueryOf(send->part.origin.part).value, send->to.text,
-                send->part.shards.size(), send->part.version.value,
-                send->part.origin.part.value);
+          .info(
+              "query {} asked instance {} for {} shards of version {} as part "
+              "{}",
+              QueryOf(send->part.origin.part).value, send->to.text,
+              send->part.shards.size(), send->part.version.value,
+              send->part.origin.part.value);
       {
         const std::lock_guard lock(budget_mutex_);
         Earn(&budget_, send->part.shards.size());
@@ -186,7 +188,9 @@
   const std::lock_guard lock(silent_mutex_);
   if (seen.is_silent) {
     NoteSilent(&silent_, seen.instance, SteadyNow());
-    Log(Part::kRoute).info("instance {} is silent.", seen.instance.text);
+    Log(Part::kRoute)
+        .info("instance {} sent no outcome of a part in time",
+              seen.instance.text);
   } else {
     RecordContact(&silent_, seen.instance);
   }
--- a/packages/routing/src/query_steps.h
+++ b/packages/routing/src/query_steps.h
@@ -1,4 +1,4 @@
-// What the files of the query's machine share among themselves.
+// Functions shared by the source files of query.h.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace hibiscuspick::routing {
 
-// One Step under way.
+// Context of one call of Step.
 struct StepContext {
   QueryState* state;
   const QueryWorld& world;
@@ -16,24 +16,25 @@
   std::vector<Action> actions;
 };
 
-// Pins the plan, forgetting everything of an earlier one, and asks for all of
-// its shards.
+// Pins the plan, discards the results of an earlier one and requests all of its
+// shards.
 void Pin(StepContext* context, std::shared_ptr<const Plan> plan);
 
-// Asks for the shards, one part for each instance that is next in line for any
-// of them. Gives the number of parts; shards that have been asked for
-// everywhere stay as they are.
+// Requests the shards, in one part for each instance that is the next candidate
+// of any of them. Returns the number of parts. Shards without another candidate
+// are left as they are.
 size_t AskShards(StepContext* context, const std::vector<size_t>& shards);
 
-// Cancels the parts in which nothing is wanted any more, or all of them.
+// Cancels the parts none of whose shards is still needed, or all parts.
 void CancelUnwanted(StepContext* context);
 void CancelAll(StepContext* context);
 
-// Ends the query with what there is.
+// Finishes the query with the results so far, or with a failure code.
 void FinishNow(StepContext* context);
 void FinishWith(StepContext* context, Code code);
 
-// The share, 0 to 1, of the plan's documents.
+// The share of the plan's documents, 0 to 1; of its shards if the plan has no
+// document counts.
 double ShareOf(const Plan& plan, uint64_t documents, uint64_t shards);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/tests/bounds_test.cc
+++ b/packages/routing/tests/bounds_test.cc
@@ -34,9 +34,9 @@
   BOOST_TEST(Admit(&limits, customer, rules, Millis(1)).admitted);
 }
 
-// Somebody sends a new customer name with each request. The memory stays
-// bounded, the names that find no place share one allowance, and a customer
-// known before keeps its own.
+// A caller sends a new customer name with each request. Memory stays bounded,
+// names that don't fit in the table share one allowance, and a customer already
+// in the table keeps its own.
 BOOST_AUTO_TEST_CASE(many_names_can_not_fill_the_memory) {
   CustomerLimits limits;
   limits.max_customers = 100;
--- a/packages/routing/tests/query_driver.h
+++ b/packages/routing/tests/query_driver.h
@@ -1,4 +1,4 @@
-// Drives one query's machine in tests with virtual time.
+// Drives one query's state machine with virtual time.
 #pragma once
 
 #include <memory>
@@ -11,8 +11,8 @@
 
 namespace hibiscuspick::routing {
 
-// A manifest of `n` shards with 100 documents each, named `prefix`1 and on,
-// two to a service.
+// A plan of `n` shards named `prefix`1, `prefix`2, and so on, with `documents`
+// each and two shards to a service.
 inline std::shared_ptr<const Plan> TestPlan(uint64_t version, int n,
                                             const std::string& prefix = "p",
                                             uint64_t documents = 100) {
@@ -97,7 +97,7 @@
     }
   }
 
-  // Outcomes of the part that was sent as number `part`, from 0.
+  // Delivers outcomes of the part sent as number `part`, counted from 0.
   void Arrive(size_t part, std::vector<limits::ShardOutcome> outcomes) {
     Do(OutcomesArrived{sent.at(part).part.origin.part, std::move(outcomes)});
   }
--- a/packages/routing/tests/query_runner_test.cc
+++ b/packages/routing/tests/query_runner_test.cc
@@ -9,7 +9,7 @@
 
 namespace hibiscuspick::routing {
 
-// Long enough for any machine; only a hang lasts so long.
+// A time only reached by a hang, also on a slow machine.
 constexpr Millis kHang{60000};
 
 QueryRequest LongQuery() {
@@ -95,8 +95,8 @@
   BOOST_TEST(runner.running() == 0U);
 }
 
-// The local executor may refuse on the calling thread, before run_local has
-// returned; the runner must not wait for itself.
+// The local executor may deliver outcomes on the calling thread before
+// run_local returns. A runner that held a lock meanwhile would deadlock.
 BOOST_AUTO_TEST_CASE(outcomes_may_come_from_within_the_send) {
   QueryRunner* target = nullptr;
   RunnerPorts ports = QuietPorts();
@@ -110,7 +110,7 @@
   BOOST_TEST(answer.coverage == 1);
 }
 
-// The connection to the owner breaks within the send. The query goes on at the
+// The connection to the owner fails during the send. The query continues at the
 // next instance instead of waiting for the deadline.
 BOOST_AUTO_TEST_CASE(a_send_that_fails_at_once_is_asked_elsewhere) {
   QueryRunner* target = nullptr;
@@ -143,9 +143,9 @@
   BOOST_TEST(cancelled == 1);
 }
 
-// An owner hangs while its connections stay open. After a few queries have
-// waited for it in vain, the next ones go to the second owner at once; when it
-// answers a probe again, it is asked as before.
+// An owner hangs while its connections stay open. After a few timeouts, queries
+// go to the second owner at once; when the first answers a probe, it is used
+// again as before.
 BOOST_AUTO_TEST_CASE(a_hanging_owner_is_soon_passed_over) {
   QueryRunner* target = nullptr;
   std::atomic<bool> hangs{true};
@@ -166,7 +166,7 @@
   const auto run = [&] {
     return runner.Run(request, SteadyNow(), OnePlan, [] { return false; });
   };
-  // A probe now and then is asked besides, on a slow machine more often.
+  // Occasional probes add to the timeouts, on a slow machine more often.
   int waited = 0;
   for (int i = 0; i < 50; ++i) {
     const Answer answer = run();
@@ -181,8 +181,8 @@
   BOOST_TEST(run().asked_again == 0U);
 }
 
-// A version was refused at one shard. Later queries know, and pin the older
-// version from the start rather than each paying for a restart.
+// A shard refused a version. Later queries pin the older version from the start
+// instead of each paying for a restart.
 BOOST_AUTO_TEST_CASE(what_one_query_learns_of_versions_the_next_one_uses) {
   QueryRunner* target = nullptr;
   std::vector<uint64_t> versions;
--- a/packages/routing/tests/query_test.cc
+++ b/packages/routing/tests/query_test.cc
@@ -39,8 +39,8 @@
   BOOST_TEST(driver.answer->hits[1].hit.id == "d1");
 }
 
-// Far more hits than are wanted come in. The best of all are kept, also those
-// of the first shards.
+// Far more hits arrive than are requested. The best of all are kept, including
+// those of the first shards.
 BOOST_AUTO_TEST_CASE(the_best_hits_survive_the_pruning) {
   QueryDriver driver({TestPlan(7, 60)});
   driver.Start();
@@ -63,7 +63,7 @@
   settings::Prefer prefer;
   double min_coverage;
   int answered;
-  // When the answer is given, in milliseconds after the start.
+  // Time of the answer, in milliseconds after the start.
   double ends;
   uint64_t covered;
 };
@@ -71,10 +71,12 @@
   return out << it.name;
 }
 const EndCase kEnds[] = {
-    {"latency, enough there", settings::Prefer::kLatency, 0.5, 2, 2, 200},
-    {"latency, too little", settings::Prefer::kLatency, 0.9, 2, 100, 200},
-    {"latency, nothing asked for", settings::Prefer::kLatency, 0, 1, 2, 100},
-    {"coverage waits", settings::Prefer::kCoverage, 0.5, 3, 100, 300},
+    {"latency, enough coverage", settings::Prefer::kLatency, 0.5, 2, 2, 200},
+    {"latency, too little coverage", settings::Prefer::kLatency, 0.9, 2, 100,
+     200},
+    {"latency, no minimum", settings::Prefer::kLatency, 0, 1, 2, 100},
+    {"coverage waits for the deadline", settings::Prefer::kCoverage, 0.5, 3,
+     100, 300},
 };
 
 BOOST_DATA_TEST_CASE(the_preference_decides_how_long_to_wait, data::make(kEnds),
@@ -100,9 +102,8 @@
   BOOST_TEST(driver.cancelled.size() == 1);
 }
 
-// A reply that was sent twice, or that belongs to something never asked for,
-// arrives while the query runs. Counted, it would claim coverage that is not
-// there or give a hit twice.
+// Outcomes arrive twice, or for shards or parts that were not requested. If
+// they counted, coverage would be too high or a hit would appear twice.
 BOOST_AUTO_TEST_CASE(only_the_first_whole_outcome_of_a_shard_counts) {
   QueryDriver driver({TestPlan(7, 3)});
   driver.Start();
@@ -119,8 +120,8 @@
   BOOST_TEST(driver.answer->hits.size() == 1);
 }
 
-// A backend server gives a score that is not a number, which no order can
-// place. A user would see hits in an order that changes from call to call.
+// A backend server returns NaN as a score, which has no order. The order of the
+// hits would change from call to call.
 BOOST_AUTO_TEST_CASE(hits_that_can_not_be_ordered_fail_their_shard) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
@@ -131,9 +132,9 @@
   BOOST_TEST((driver.answer->missing[0].code == Code::kBadReply));
 }
 
-// The owner of some shards hangs without closing its connection. The user gets
-// those shards from the next instance instead of waiting out the deadline, and
-// when the first one wakes up its outcomes change nothing.
+// The owner of some shards hangs without closing its connection. Its shards are
+// requested from the next instance instead of waiting for the deadline, and
+// late outcomes of the first are not counted twice.
 BOOST_AUTO_TEST_CASE(a_silent_owner_is_passed_over) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
@@ -151,16 +152,17 @@
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == 200);
   BOOST_TEST(driver.answer->hits.size() == 2);
-  // Three outcomes, and the one that the second instance still works on.
+  // Three outcomes, plus the shard that the second instance is still working
+  // on.
   BOOST_TEST(driver.answer->attempts == 4);
   BOOST_TEST(driver.answer->asked_again == 1);
   BOOST_TEST_REQUIRE(driver.cancelled.size() == 1);
   BOOST_TEST(driver.cancelled[0].at.text == "b");
 }
 
-// Every owner is slow because there is too much work. Asking each part again
-// elsewhere would double the work; the budget forbids it, and the user gets
-// what the first owners manage.
+// Every owner is slow from overload. Requesting each part from another instance
+// as well would double the load; the budget prevents it, and the first owners'
+// outcomes form the answer.
 BOOST_AUTO_TEST_CASE(asking_again_stops_when_the_budget_is_spent) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.may_ask_again = false;
@@ -172,7 +174,7 @@
   BOOST_TEST(driver.answer->coverage == 1);
 }
 
-// An owner works on a long queue but says so. It is not taken for gone.
+// An owner with a long queue sends keepalives. It must not time out.
 BOOST_AUTO_TEST_CASE(an_empty_report_keeps_an_owner_from_counting_as_silent) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
@@ -183,8 +185,8 @@
   BOOST_TEST(NextDue(driver.state).count == 1055);
 }
 
-// Instances go down one after another, and the connection to each breaks. The
-// query ends up sending from here, and only then runs out of instances.
+// Instances fail one after another. The query ends up running its shards on
+// this instance, and only then has no candidate left.
 BOOST_AUTO_TEST_CASE(failed_instances_are_passed_over_down_to_sending_here) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
@@ -199,8 +201,8 @@
   BOOST_TEST((driver.answer->missing[0].code == Code::kConnectFailed));
 }
 
-// A silent owner was passed over, and then says that it can't serve. The
-// instance asked instead is still at work, so nobody else is asked.
+// An owner times out and then reports that it can't serve. The instance that
+// took over is still working, so the shard is not requested a third time.
 BOOST_AUTO_TEST_CASE(a_shard_that_is_being_asked_for_is_not_asked_again) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.Start();
@@ -212,8 +214,8 @@
   BOOST_TEST(driver.answer->coverage == 1);
 }
 
-// More instances are known than may be asked. The last try is made from here,
-// which works even when this instance is cut off from all others.
+// There are more candidates than max_candidates. The last try runs on this
+// instance, which works even when it is partitioned from all others.
 BOOST_AUTO_TEST_CASE(the_last_try_is_sent_from_here) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.candidates = {InstanceId("a"), InstanceId("b"), InstanceId("c"),
@@ -262,8 +264,8 @@
      Ran::kMaybe},
 };
 
-// All shards fail for good long before the deadline. The caller is told at
-// once, and "not run" only when nothing left this instance.
+// All shards fail permanently long before the deadline. The query fails at
+// once, with `ran` kNo only if nothing left this instance.
 BOOST_DATA_TEST_CASE(a_query_without_hope_ends_at_once, data::make(kGiveUps),
                      it) {
   QueryDriver driver({TestPlan(7, 2)});
@@ -278,8 +280,8 @@
   BOOST_TEST(driver.answer->took.count == 3);
 }
 
-// The deadline passes while a part runs here and has reported nothing: it may
-// be at a server this very moment, so the refusal must not promise otherwise.
+// The deadline passes while a part runs here without a report. An attempt may
+// be at a server, so `ran` must be kMaybe.
 BOOST_AUTO_TEST_CASE(work_that_has_not_reported_may_have_run) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.candidates = {InstanceId("self")};
@@ -290,8 +292,8 @@
   BOOST_TEST((driver.answer->ran == Ran::kMaybe));
 }
 
-// The caller closes its connection midway. Whatever still runs for it is
-// cancelled, so that nobody waits behind work that has no reader.
+// The caller disconnects while the query runs. All its parts are cancelled, so
+// that no other query waits behind them.
 BOOST_AUTO_TEST_CASE(a_caller_that_went_away_cancels_everything) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
--- a/packages/routing/tests/snapshot_test.cc
+++ b/packages/routing/tests/snapshot_test.cc
@@ -1,4 +1,4 @@
-// One snapshot for each answer, while versions come and go.
+// Each answer is of one snapshot while versions change.
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
 
@@ -27,12 +27,13 @@
   return out << it.name;
 }
 const ChoiceCase kChoices[] = {
-    {"nothing known", {}, 8},
-    {"the new one is not everywhere yet", HeldOf("p1", {6, 7}, Millis(900)), 7},
-    {"the old one was dropped", HeldOf("p1", {8}, Millis(900)), 8},
-    {"both are gone there", HeldOf("p1", {9}, Millis(900)), 8},
-    {"the report is too old", HeldOf("p1", {7}, Millis(900) - kHeldMemory), 8},
-    {"a shard of neither", HeldOf("q1", {7}, Millis(900)), 8},
+    {"no reports", {}, 8},
+    {"the new version is not loaded everywhere",
+     HeldOf("p1", {6, 7}, Millis(900)), 7},
+    {"the old version was dropped", HeldOf("p1", {8}, Millis(900)), 8},
+    {"both versions were dropped", HeldOf("p1", {9}, Millis(900)), 8},
+    {"the report has expired", HeldOf("p1", {7}, Millis(900) - kHeldMemory), 8},
+    {"a shard of neither plan", HeldOf("q1", {7}, Millis(900)), 8},
 };
 
 BOOST_DATA_TEST_CASE(the_newest_that_covers_best_is_pinned,
@@ -60,8 +61,8 @@
 }
 
 // The data is repartitioned while a query runs: the backend servers drop the
-// version it pinned, and the newer manifest has other shards with other
-// counts. The user gets an answer of the newer one alone, with its denominator.
+// pinned version, and the newer manifest has other shards and counts. The
+// answer must consist of the newer version alone, with its own denominator.
 BOOST_AUTO_TEST_CASE(a_dropped_version_starts_the_query_again_on_a_newer_one) {
   QueryDriver driver({TestPlan(7, 4)});
   driver.Start();
@@ -72,7 +73,7 @@
   BOOST_TEST(driver.sent[1].part.version.value == 8);
   BOOST_TEST(driver.sent[1].part.shards.size() == 3);
   BOOST_TEST(driver.cancelled.size() == 1);
-  // Late outcomes of the first pin only count as load.
+  // Late outcomes of the first version only count as attempts.
   driver.Arrive(0, {Answered("p3", {{"late", 1, "{}"}}),
                     Answered("p4", {{"later", 1, "{}"}})});
   driver.Arrive(
@@ -87,8 +88,9 @@
   BOOST_TEST(driver.answer->restarts == 1);
 }
 
-// The same shard name is in both manifests with different counts. A reply for
-// the first pin that comes after the restart must not count for the second.
+// Both manifests have a shard of the same name with different counts. A reply
+// for the first version that arrives after the restart must not count for the
+// second.
 BOOST_AUTO_TEST_CASE(
     a_late_reply_of_the_first_pin_is_not_taken_for_the_second) {
   QueryDriver driver({TestPlan(8, 2, "p", 30), TestPlan(7, 2)});
@@ -115,7 +117,7 @@
 struct StayCase {
   std::string name;
   settings::Prefer prefer;
-  // When the refusal arrives, in milliseconds after the start.
+  // Time of the refusal, in milliseconds after the start.
   double at;
   bool restarts;
 };
@@ -125,7 +127,8 @@
 const StayCase kStays[] = {
     {"coverage, early", settings::Prefer::kCoverage, 5, true},
     {"coverage, no time left", settings::Prefer::kCoverage, 95, false},
-    {"latency, still enough", settings::Prefer::kLatency, 5, false},
+    {"latency, coverage still sufficient", settings::Prefer::kLatency, 5,
+     false},
 };
 
 BOOST_DATA_TEST_CASE(a_query_restarts_only_where_it_helps, data::make(kStays),
@@ -140,8 +143,8 @@
   BOOST_TEST((driver.state.generation == 1) == it.restarts);
 }
 
-// Two versions are each missing somewhere. Without a bound the query would go
-// back and forth between them until its deadline.
+// Each of two versions is missing at one shard. Without a bound the query would
+// alternate between them until its deadline.
 BOOST_AUTO_TEST_CASE(a_query_never_returns_to_a_version_it_gave_up) {
   QueryDriver driver({TestPlan(8, 2), TestPlan(7, 2)});
   driver.Start();
@@ -163,9 +166,9 @@
   BOOST_TEST(driver.seen[0].held.at(0).value == 9);
 }
 
-// Versions come, owners fall silent, fail and wake, outcomes arrive twice, late
-// and for other parts, in any order. Whatever happens, an answer holds hits of
-// one version only and counts each document of that manifest at most once.
+// New versions appear, owners time out, fail and recover, and outcomes arrive
+// twice, late and for other parts, in random order. An answer must hold hits of
+// one version only and count each document of its manifest at most once.
 BOOST_DATA_TEST_CASE(no_disorder_mixes_versions_or_inflates_coverage,
                      data::xrange(200), seed) {
   Random random(static_cast<uint64_t>(seed) + 1);
