--- a/packages/dispatch/include/hibiscuspick/dispatch/executor_metrics.h
+++ b/packages/dispatch/include/hibiscuspick/dispatch/executor_metrics.h
@@ -1,4 +1,4 @@
-// What the executor counts, as the daemon's /metrics reads it.
+// Metrics of the executor, exported by the daemon at /metrics.
 #pragma once
 
 #include <boost/histogram/axis/regular.hpp>
@@ -15,8 +15,8 @@
 
 namespace hibiscuspick::dispatch {
 
-// Latencies of attempts from hand-over to whole reply, in milliseconds: 48
-// buckets that grow by the same factor from 0.1 ms to 10 s.
+// Histogram of attempt latencies, from the start of sending to the complete
+// reply, in milliseconds: 48 logarithmic buckets from 0.1 ms to 10 s.
 inline auto MakeLatencyHistogram() {
   namespace bh = boost::histogram;
   using Axis = bh::axis::regular<double, bh::axis::transform::log>;
@@ -24,18 +24,18 @@
 }
 using LatencyHistogram = decltype(MakeLatencyHistogram());
 
-// What the group knows of one server.
+// State of one backend server as observed by the group.
 struct ServerMetrics {
   BackendServerId server;
   int slots = 0;
   int in_flight = 0;
-  // Of those in flight, attempts that were given up and whose end is not seen.
+  // Those in flight that were abandoned and whose end has not been observed.
   int abandoned = 0;
   bool ejected = false;
   bool draining = false;
-  // Mean of whole replies, recent ones weighing more; 0 if none.
+  // Exponentially weighted moving average of complete replies; 0 if none.
   Millis latency;
-  // As the server last said with a 409; empty if it never did.
+  // As last reported by the server with a 409; empty if it never was.
   limits::HeldVersions held;
 };
 
@@ -44,12 +44,12 @@
   limits::GroupCounters counters;
   int slots_in_use = 0;
   size_t waiting = 0;
-  // Servers in that state.
+  // Numbers of servers in that state.
   int ejected = 0;
   int draining = 0;
-  // Those that are part of the service now.
+  // The servers that are now part of the service.
   std::vector<ServerMetrics> servers;
-  // By code, attempts that ended with it.
+  // Ended attempts by code.
   std::map<Code, uint64_t> attempts_by_code;
   LatencyHistogram latency = MakeLatencyHistogram();
 };
--- a/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
+++ b/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
@@ -1,5 +1,5 @@
-// Runs parts of queries, and records, against backend servers: the threads and
-// sockets around limits::GroupState.
+// Runs parts of queries, and records, at backend servers. Provides the threads
+// and sockets around limits::GroupState.
 #pragma once
 
 #include <cstddef>
@@ -20,94 +20,97 @@
 
 namespace hibiscuspick::dispatch {
 
-// One service as this instance is to use it.
+// The configuration of one service for this instance.
 struct GroupConfig {
   settings::Service service;
   limits::GroupPolicy policy;
-  // Servers an operator has drained.
+  // Servers drained by an operator.
   std::vector<BackendServerId> drained;
 };
 
 struct ExecutorOptions {
-  // Both go into the attempt ids on the wire; the incarnation must never have
-  // been used by this instance before, or ids would repeat.
+  // Both are part of the attempt ids sent to servers. The incarnation must
+  // never have been used by this instance before, or ids would repeat.
   InstanceId instance;
   Incarnation incarnation;
-  // Attempts in flight at once over all groups, each on a thread.
+  // Maximum attempts in flight over all groups, each on its own thread.
   size_t max_workers = 512;
-  // Bytes of a backend server's reply.
+  // Maximum size of a backend server's reply, in bytes.
   size_t max_reply = 4 << 20;
-  // For a cancel, or for opening a connection ahead.
+  // Timeout of a cancel request, and of opening a connection in advance.
   Millis control_timeout{500};
   uint64_t seed = 1;
 };
 
-// What a record needs; it was claimed for this one dispatch.
+// A record to run. The caller has claimed its key for this single dispatch.
 struct RecordRequest {
   ServiceId service;
   ShardId shard;
   std::vector<BackendServerId> servers;
   IndexVersion version;
   std::string key;
-  // JSON text, passed on unread.
+  // JSON text, forwarded without parsing.
   std::string record;
   Lane lane = Lane::kUrgent;
   Millis time_left;
 };
 
-// What became of a record.
+// The outcome of a record.
 struct RecordOutcome {
   Code code = Code::kOk;
-  // kNo only if nothing was handed to a socket. A server's own word that it
-  // did not run the record (kShed, kVersionNotHeld) is still kMaybe here, for
-  // the request reached it.
+  // kNo only if nothing was sent. A server's statement that it did not run the
+  // record (kShed, kVersionNotHeld) still gives kMaybe, since the request
+  // reached it.
   Ran ran = Ran::kMaybe;
-  // The body of the server's answer: its result with kOk, its reason with
+  // The body of the server's reply: the result with kOk, the reason with
   // kRecordFailed.
   std::string result;
 };
 
 class PartExecutor {
  public:
-  // Called from worker and timer threads, possibly several at once, without
-  // any lock held: must be quick and thread-safe.
+  // Called from worker and timer threads, possibly concurrently, and without a
+  // lock held. Must be quick and thread-safe.
   using OnOutcomes = std::function<void(std::vector<limits::ShardOutcome>)>;
-  // A backend server said in a reply that it drains, or showed a new life.
+  // Called when a backend server reports in a reply that it drains, or reports
+  // its incarnation.
   using OnServerNews =
       std::function<void(const BackendServerId&, Incarnation, bool draining)>;
 
   PartExecutor(ExecutorOptions options, OnServerNews on_server_news);
-  // As Stop.
+  // Calls Stop.
   ~PartExecutor();
   PartExecutor(const PartExecutor&) = delete;
   PartExecutor& operator=(const PartExecutor&) = delete;
 
-  // All services now in force. Work that runs for one that is gone finishes.
+  // Applies the configuration of all services. Running work of a removed
+  // service finishes.
   void Apply(const std::vector<GroupConfig>& groups);
 
-  // Starts the part. Each shard's outcome is given exactly once, some possibly
-  // before this returns. After Cancel the rest is not given.
+  // Starts a part. `on_outcomes` receives each shard's outcome exactly once,
+  // possibly before Run returns, and none after Cancel.
   void Run(const limits::PartRequest& part, OnOutcomes on_outcomes);
 
-  // Nobody wants the rest of the part: frees its slots, and asks the servers
-  // to stop. An unknown part is passed over.
+  // Cancels the rest of a part: releases its queued tasks and requests
+  // cancellation of its attempts. Unknown parts are ignored.
   void Cancel(const limits::PartOrigin& origin);
 
-  // News of a backend server from a peer or the platform.
+  // Handles a report of a backend server's incarnation and drain state from a
+  // peer or the platform.
   void TakeServerNews(const BackendServerId& server, Incarnation incarnation,
                       bool draining);
 
-  // Runs a record by exactly one attempt, or none. Blocks until the outcome or
-  // the deadline.
+  // Runs a record with at most one attempt. Blocks until the outcome or the
+  // deadline.
   RecordOutcome RunRecord(const RecordRequest& record);
 
-  // Parts not yet over, and records; 0 means a graceful stop may end.
+  // Number of unfinished parts and records. At 0 a graceful stop may end.
   size_t InFlight() const;
 
   ExecutorMetrics Metrics() const;
 
-  // Ends everything in flight and joins all threads. Outcomes not yet given
-  // are given as kCancelled. Run and RunRecord must not be called after.
+  // Aborts everything in flight and joins all threads. Pending outcomes are
+  // delivered as kCancelled. Run and RunRecord must not be called afterwards.
   void Stop();
 
  private:
--- a/packages/dispatch/include/hibiscuspick/dispatch/reply_check.h
+++ b/packages/dispatch/include/hibiscuspick/dispatch/reply_check.h
@@ -1,5 +1,5 @@
-// Decides what a backend server's reply is worth. Anything that is not exactly
-// the whole reply to this attempt is a failed attempt.
+// Validates a backend server's reply. Anything but a complete reply to this
+// very attempt fails the attempt.
 #pragma once
 
 #include <string>
@@ -12,27 +12,28 @@
 
 namespace hibiscuspick::dispatch {
 
-// What the reply must echo.
+// The values that the reply must echo.
 struct ExpectedEcho {
   std::string attempt;
   IndexVersion version;
   BackendServerId server;
-  // A record's answer is any JSON, a query's has hits.
+  // Whether the attempt is a record, whose answer may be any JSON; a query's
+  // answer has hits.
   bool record = false;
 };
 
 struct CheckedReply {
   Code code = Code::kOk;
   std::vector<limits::Hit> hits;
-  // With kVersionNotHeld.
+  // With kVersionNotHeld: the versions that the server holds.
   std::vector<IndexVersion> held;
   bool draining = false;
-  // 0 if the server does not say.
+  // 0 if the server did not report one.
   Incarnation incarnation;
 };
 
-// Checks status, echoes and body. Codes: kOk, kWrongEcho, kBadReply, kShed,
-// kVersionNotHeld, kBackendError, and kRecordFailed for a record's 4xx.
+// Checks status, echoed values and body. Codes: kOk, kWrongEcho, kBadReply,
+// kShed, kVersionNotHeld, kBackendError, and kRecordFailed for a record's 4xx.
 CheckedReply CheckReply(const ExpectedEcho& expected, const http::Reply& reply);
 
 }  // namespace hibiscuspick::dispatch
--- a/packages/dispatch/src/attempt_runner.cc
+++ b/packages/dispatch/src/attempt_runner.cc
@@ -14,8 +14,8 @@
 constexpr int kNotFoundStatus = 404;
 constexpr Millis kTimeoutSlack{2};
 
-// Shard names come from operators and may hold any character; a slash or a
-// line break in one must not make another request of it.
+// Shard names are set by operators and may contain any character. Unescaped, a
+// slash or a line break would change the request.
 std::string EscapePath(const std::string& text) {
   constexpr char kHex[] = "0123456789ABCDEF";
   std::string escaped;
@@ -69,7 +69,8 @@
   result.report.latency = SteadyNow() - begin;
   if (!IsOk(reply)) {
     result.report.code = ErrorOf(reply).code;
-    // The library waits whole milliseconds and so gives up a little early.
+    // The HTTP library waits in whole milliseconds and so may time out slightly
+    // early.
     const bool at_deadline = result.report.latency + kTimeoutSlack >= time_left;
     if (result.report.code == Code::kReadFailed && at_deadline) {
       result.report.code = Code::kDeadlineExceeded;
@@ -85,8 +86,8 @@
   result.report.incarnation = checked.incarnation;
   result.content.hits = std::move(checked.hits);
   if (order.job.record) result.content.body = std::move(ValueOf(reply).body);
-  // After a wrong echo the connection is out of step: what comes next on it
-  // may be another attempt's reply too.
+  // After a wrong echo the connection is out of sync: the next reply on it may
+  // also belong to another attempt.
   result.reusable = checked.code != Code::kWrongEcho && connection->IsOpen();
   return result;
 }
@@ -100,9 +101,9 @@
   if (!IsOk(reply)) return {};
   const int status = ValueOf(reply).status;
   const bool done = status >= 200 && status < 300;
-  // 404: ended already. That the cancel overtook the request itself is possible
-  // in principle; the slot would then be one too many for that attempt's time,
-  // and the server sheds what it cannot take.
+  // 404: the attempt has ended. If the cancel overtook the attempt's request,
+  // one attempt too many may run in its slot, and the server sheds what exceeds
+  // its capacity.
   return {done || status == kNotFoundStatus, connection->IsOpen()};
 }
 
@@ -115,9 +116,10 @@
 
 void LogAttempt(const AttemptOrder& order, const AttemptResult& result) {
   Log(Part::kBackend)
-      .debug("attempt {} at {} for {} ended {} after {:.1f} ms",
-             order.attempt.value, order.server.text, order.job.shard.text,
-             CodeName(result.report.code), result.report.latency.count);
+      .debug(
+          "attempt {} at server {} for shard {} ended with {} after {:.1f} ms",
+          order.attempt.value, order.server.text, order.job.shard.text,
+          CodeName(result.report.code), result.report.latency.count);
 }
 
 }  // namespace hibiscuspick::dispatch
--- a/packages/dispatch/src/attempt_runner.h
+++ b/packages/dispatch/src/attempt_runner.h
@@ -1,4 +1,4 @@
-// One exchange with a backend server, on a worker's thread.
+// HTTP requests to a backend server, made on a worker thread.
 #pragma once
 
 #include <memory>
@@ -13,22 +13,23 @@
 struct AttemptResult {
   limits::AttemptReport report;
   ReplyContent content;
-  // Whether a whole reply was read and the connection kept open.
+  // Whether a complete reply was read and the connection is still open.
   bool reusable = false;
 };
 
-// The attempt's id as the backend server sees it. Unique for ever, since the
-// incarnation is new with each start of the instance.
+// The id of the attempt in requests to the backend server. Never reused, since
+// each start of the instance has a new incarnation.
 std::string AttemptWireId(const InstanceId& instance, Incarnation incarnation,
                           AttemptId attempt);
 
-// Sends the attempt's request and checks the reply. Blocks until the deadline
-// at most, unless the server trickles; Abort on the connection ends that.
+// Sends the attempt's request and validates the reply. Blocks until the
+// deadline at most, unless the server sends its reply in small pieces; Abort on
+// the connection ends that.
 AttemptResult SendAttempt(const AttemptOrder& order, const std::string& wire_id,
                           const std::shared_ptr<http::Connection>& connection);
 
 struct CancelReply {
-  // The server said that the attempt does not run.
+  // Whether the server confirmed that the attempt is not running.
   bool confirmed = false;
   bool reusable = false;
 };
@@ -37,8 +38,8 @@
     const std::string& wire_id,
     const std::shared_ptr<http::Connection>& connection, Millis timeout);
 
-// Opens the connection by a request that costs the server nothing. What it
-// answers is a hint that lags, and is not read.
+// Opens the connection with a health request, which is cheap for the server.
+// The reply is ignored.
 bool WarmUp(const std::shared_ptr<http::Connection>& connection,
             Millis timeout);
 
--- a/packages/dispatch/src/connection_pool.cc
+++ b/packages/dispatch/src/connection_pool.cc
@@ -5,8 +5,8 @@
 namespace hibiscuspick::dispatch {
 namespace {
 
-// Idle for longer, a connection is closed: servers close theirs after a while,
-// and a request that meets the close fails although the server is well.
+// Maximum idle time. Servers close idle connections after a while, and a
+// request sent at that moment fails although the server is healthy.
 constexpr Millis kMaxIdle{20000};
 
 }  // namespace
--- a/packages/dispatch/src/connection_pool.h
+++ b/packages/dispatch/src/connection_pool.h
@@ -1,4 +1,4 @@
-// The connections to one backend server.
+// The pool of connections to one backend server.
 #pragma once
 
 #include <atomic>
@@ -13,15 +13,15 @@
 
 namespace hibiscuspick::dispatch {
 
-// Counted over all pools of an executor.
+// Totals over all pools of an executor.
 struct ConnectionCounters {
   std::atomic<uint64_t> opened{0};
   std::atomic<uint64_t> open{0};
 };
 
-// Hands out connections that are idle, the one used last first, and makes new
-// ones. How many attempts run at once is the group's business; this only keeps
-// cancels and preparation from going over the share.
+// Provides idle connections, the most recently used first, or new ones. The
+// group bounds the attempts in flight; the pool only keeps cancels and
+// connections opened in advance within this instance's share.
 class ConnectionPool {
  public:
   ConnectionPool(const Address& address, http::ConnectionLimits limits,
@@ -30,27 +30,28 @@
 
   const Address& address() const { return address_; }
 
-  // What the settings allow, for connections made from now on.
+  // Sets the limits for connections made from now on.
   void Configure(int share, Millis connect_timeout);
 
-  // A connection for an attempt.
+  // Returns a connection for an attempt.
   std::shared_ptr<http::Connection> Take();
 
-  // One that was never used. For records: an idle one may have been closed by
-  // the server this very moment, and the record's outcome would be unknown
-  // though it never arrived.
+  // Returns an unused connection, for a record. The server may close an idle
+  // one just as the record is sent; its outcome would then be unknown although
+  // it never arrived.
   std::shared_ptr<http::Connection> TakeFresh();
 
-  // One for a cancel, or none if the share is used up.
+  // Returns a connection for a cancel, or null if the share is used up.
   std::shared_ptr<http::Connection> TakeSpare();
 
-  // A new one to be opened ahead, or none if the share is used up.
+  // Returns a new connection to open in advance, or null if the share is used
+  // up.
   std::shared_ptr<http::Connection> TakeToWarm();
 
-  // Gives back a connection whose reply was read whole.
+  // Returns a connection to the pool after a complete reply.
   void Return(std::shared_ptr<http::Connection> connection);
 
-  // Gives back one that must not be used again.
+  // Closes a connection that must not be reused.
   void Discard(const std::shared_ptr<http::Connection>& connection);
 
  private:
--- a/packages/dispatch/src/decision_log.cc
+++ b/packages/dispatch/src/decision_log.cc
@@ -32,8 +32,8 @@
   const Decision& it = logged.decision;
   Log(Part::kLimit)
       .info(
-          "started {} {} for {} of {} at {}, task {}, lane {}, waited "
-          "{:.1f} ms, {} waiting",
+          "started {} {} for shard {} of service {} at server {}: task {}, "
+          "lane {}, queued for {:.1f} ms, {} tasks queued",
           KindName(it.attempt_kind), it.attempt.value, logged.shard.text,
           service.text, logged.server.text, it.task.value, LaneName(it.lane),
           it.waited.count, it.waiting);
@@ -43,16 +43,18 @@
              const LoggedDecision& logged) {
   const Decision& it = logged.decision;
   Log(Part::kLimit)
-      .info("{} {} of {}, task {}, lane {}, {}, waited {:.1f} ms, {} waiting",
-            what, logged.shard.text, service.text, it.task.value,
-            LaneName(it.lane), CodeName(it.code), it.waited.count, it.waiting);
+      .info(
+          "{} shard {} of service {}: task {}, lane {}, {}, queued for "
+          "{:.1f} ms, {} tasks queued",
+          what, logged.shard.text, service.text, it.task.value,
+          LaneName(it.lane), CodeName(it.code), it.waited.count, it.waiting);
 }
 
 void LogServer(std::string_view what, const ServiceId& service,
                const LoggedDecision& logged) {
   Log(Part::kBackend)
-      .warn("{} {} of {}, {}", what, logged.server.text, service.text,
-            CodeName(logged.decision.code));
+      .warn("{} server {} of service {}: {}", what, logged.server.text,
+            service.text, CodeName(logged.decision.code));
 }
 
 }  // namespace
@@ -72,15 +74,15 @@
     case DecisionKind::kDrop:
       return LogTask("dropped", service, logged);
     case DecisionKind::kHedgeDenied:
-      return LogTask("no budget to hedge", service, logged);
+      return LogTask("no budget token to hedge", service, logged);
     case DecisionKind::kRetryDenied:
-      return LogTask("no budget to retry", service, logged);
+      return LogTask("no budget token to retry", service, logged);
     case DecisionKind::kEject:
       return LogServer("ejected", service, logged);
     case DecisionKind::kRestore:
-      return LogServer("took back", service, logged);
+      return LogServer("restored", service, logged);
     case DecisionKind::kDrain:
-      return LogServer("sends nothing new to", service, logged);
+      return LogServer("stopped sending new attempts to", service, logged);
   }
 }
 
--- a/packages/dispatch/src/decision_log.h
+++ b/packages/dispatch/src/decision_log.h
@@ -1,4 +1,4 @@
-// One log line for each decision of a group.
+// Logs the decisions of a group, one line each.
 #pragma once
 
 #include "hibiscuspick/base/ids.h"
@@ -6,15 +6,15 @@
 
 namespace hibiscuspick::dispatch {
 
-// A decision with the names behind its numbers, as far as it has any.
+// A decision with the names of its server and shard, if it has them.
 struct LoggedDecision {
   limits::Decision decision;
   BackendServerId server;
   ShardId shard;
 };
 
-// Whether its line would be written at the log's level. Asked first, so that
-// no names are copied for nothing.
+// Whether the decision would be logged at the current level. Checked first to
+// avoid copying names for nothing.
 bool IsLogged(const limits::Decision& decision);
 
 void LogDecision(const ServiceId& service, const LoggedDecision& logged);
--- a/packages/dispatch/src/executor_group.cc
+++ b/packages/dispatch/src/executor_group.cc
@@ -6,10 +6,10 @@
 namespace hibiscuspick::dispatch {
 namespace {
 
-// Attempt numbers of a group lie in a range of their own.
+// Each group has its own range of 2^40 attempt ids.
 constexpr int kGroupShift = 40;
 
-// How soon an abort that met a request just about to begin is repeated.
+// Interval of repeated aborts, for requests that had not begun at the first.
 constexpr Millis kAbortAgain{20};
 
 FinishedJob Cancelled(Job job) {
@@ -247,7 +247,8 @@
 
 void ExecutorGroup::GatherOne(const limits::StartAttempt& start,
                               Effects* effects) {
-  // Started and given up in the same event: MayStart would refuse it.
+  // The attempt was started and abandoned by the same event; MayStart would
+  // refuse it.
   const auto job = jobs_.find(start.task);
   if (job == jobs_.end()) return;
   effects->starts.push_back({start.attempt, job->second,
--- a/packages/dispatch/src/executor_group.h
+++ b/packages/dispatch/src/executor_group.h
@@ -1,5 +1,5 @@
-// One service's group with its lock: feeds events to the pure state and
-// gathers what has to be done once the lock is free again.
+// A GroupState with its lock. Passes events to the state and collects the
+// resulting I/O, which the caller performs after the lock is released.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 namespace hibiscuspick::dispatch {
 
-// An attempt for a worker.
+// An attempt for a worker to run.
 struct AttemptOrder {
   AttemptId attempt;
   Job job;
@@ -28,21 +28,21 @@
   std::shared_ptr<ConnectionPool> pool;
 };
 
-// A cancel for a worker.
+// A cancel request for a worker to send.
 struct CancelOrder {
   AttemptId attempt;
   std::shared_ptr<ConnectionPool> pool;
 };
 
-// A task that is over.
+// A finished task.
 struct FinishedJob {
   Job job;
   limits::ShardOutcome outcome;
-  // For a record.
+  // The reply's body; used for a record.
   std::string body;
 };
 
-// What an event asks for, to be done without the lock.
+// The I/O that an event requires, performed without the lock.
 struct Effects {
   std::vector<AttemptOrder> starts;
   std::vector<CancelOrder> cancels;
@@ -53,7 +53,8 @@
   Millis due = kNever;
 };
 
-// A reply's content, kept until the group says whether it counts.
+// The content of a reply, kept until the group decides whether it is the
+// answer.
 struct ReplyContent {
   std::vector<limits::Hit> hits;
   std::string body;
@@ -61,14 +62,14 @@
 
 class ExecutorGroup {
  public:
-  // `number` sets the range of attempt ids and must be new to the process.
+  // `number` sets the range of attempt ids and must be unique in the process.
   ExecutorGroup(ServiceId service, uint64_t number, uint64_t seed,
                 http::ConnectionLimits limits, ConnectionCounters* counters);
 
   const ServiceId& service() const { return service_; }
 
   Effects Apply(const GroupConfig& config);
-  // As Apply, for a service that is gone.
+  // As Apply, for a service that was removed.
   Effects Retire();
   Effects Add(std::vector<std::pair<limits::NewTask, Job>> tasks);
   Effects Cancel(const std::vector<TaskId>& tasks);
@@ -77,34 +78,35 @@
   Effects Tick();
   Effects ConfirmCancel(AttemptId attempt);
 
-  // The last check before the socket. True: the attempt counts as handed over
-  // and `connection` may be aborted from now on until Finish.
+  // Final check before the request is sent. After true the attempt counts as
+  // sent, and `connection` may be aborted until Finish.
   bool MayStart(AttemptId attempt,
                 const std::shared_ptr<http::Connection>& connection,
                 Effects* effects);
   Effects Finish(const limits::AttemptReport& report, ReplyContent content);
 
-  // Tasks without an outcome yet, all of them cancelled and given back.
+  // Cancels all unfinished tasks and returns them.
   std::vector<FinishedJob> CancelAll(Effects* effects);
 
-  // A cancel or a warm-up runs on the connection until EndControl, and is
-  // aborted from `until` on. Its server may be the very one that trickles.
+  // Registers a cancel or health request that runs on the connection until
+  // EndControl. It is aborted after `until`, since its server may be one that
+  // sends its reply in small pieces.
   void BeginControl(const std::shared_ptr<http::Connection>& connection,
                     Millis until);
   void EndControl(const std::shared_ptr<http::Connection>& connection);
 
-  // Aborts what should have returned: control requests past their time, and
-  // once more those of abandoned attempts, since an abort has no effect on a
-  // request that is just about to begin. Gives when to look again.
+  // Aborts control requests past their time and, again, requests of abandoned
+  // attempts, since an abort has no effect on a request that has not begun.
+  // Returns when to call it next.
   Millis AbortOverdue(Millis now);
 
-  // Aborts all running requests; true if there were any.
+  // Aborts all running requests. Returns whether there were any.
   bool AbortRunning();
 
-  // Whether nothing runs or waits.
+  // Whether no task or request is left.
   bool IsIdle();
 
-  // Whether the server is still part of the service.
+  // Whether the server is part of the service.
   bool HasServer(const BackendServerId& server);
 
   GroupMetrics Metrics();
@@ -115,7 +117,8 @@
     bool aborted = false;
   };
 
-  // Runs the event on the state under the lock, which the caller holds.
+  // Applies the event to the state and collects its effects. The caller holds
+  // the lock.
   template <class Event>
   void Handle(Effects* effects, Event event);
   void Gather(limits::Actions actions, Effects* effects);
@@ -124,7 +127,7 @@
   void GatherOne(const limits::CancelAttempt& cancel, Effects* effects);
   void GatherOne(const limits::PrepareConnection& prepare, Effects* effects);
   void GatherOne(const limits::Decision& decision, Effects* effects);
-  // One for each server, anew if its address changed.
+  // Creates a pool for each server that has none or whose address has changed.
   void MakePools();
 
   const ServiceId service_;
@@ -135,10 +138,10 @@
   Random random_;
   std::unordered_map<TaskId, Job> jobs_;
   std::unordered_map<AttemptId, Running> running_;
-  // By index of the server.
+  // By the server's index.
   std::vector<std::shared_ptr<ConnectionPool>> pools_;
   std::map<std::shared_ptr<http::Connection>, Millis> control_;
-  // Of the attempt that is being finished.
+  // The reply of the attempt that is being finished.
   ReplyContent content_;
   std::map<Code, uint64_t> attempts_by_code_;
   LatencyHistogram latency_ = MakeLatencyHistogram();
--- a/packages/dispatch/src/jobs.h
+++ b/packages/dispatch/src/jobs.h
@@ -1,5 +1,5 @@
-// The work behind the group's numbers: what to send for a task, and where its
-// outcome goes.
+// The work behind a task id: the request to send and where to deliver the
+// outcome.
 #pragma once
 
 #include <atomic>
@@ -15,7 +15,7 @@
 
 namespace hibiscuspick::dispatch {
 
-// One running part, shared by its shards.
+// A running part, shared by the jobs of its shards.
 struct PartRun {
   limits::PartOrigin origin;
   PartExecutor::OnOutcomes on_outcomes;
@@ -26,7 +26,7 @@
   std::atomic<size_t> outstanding{0};
 };
 
-// One running record.
+// A running record.
 struct RecordRun {
   std::string key;
   std::string body;
--- a/packages/dispatch/src/part_executor.cc
+++ b/packages/dispatch/src/part_executor.cc
@@ -20,7 +20,7 @@
 
 using GroupPtr = std::shared_ptr<ExecutorGroup>;
 
-// {"query": …, "limit": 20}, with the query's text passed on as it came.
+// Builds {"query": …, "limit": 20} with the query's text as received.
 std::string QueryBody(const limits::PartRequest& part) {
   return "{\"query\":" + part.query +
          ",\"limit\":" + std::to_string(part.limit) + "}";
@@ -30,7 +30,7 @@
   limits::ShardOutcome outcome;
   outcome.shard = shard;
   outcome.code = Code::kNoServer;
-  // No group, so that no attempt can have been made.
+  // Without a group no attempt can have been made.
   outcome.ran = Ran::kNo;
   return outcome;
 }
@@ -73,22 +73,23 @@
   GroupPtr FindGroup(const ServiceId& service);
   std::vector<GroupPtr> AllGroups();
   GroupPtr MakeGroup(const ServiceId& service);
-  // Sorts a part's shards by group; those without one are given back.
+  // Groups a part's shards by service. Returns failed outcomes for shards of
+  // unknown services.
   std::vector<limits::ShardOutcome> SortShards(
       const limits::PartRequest& part, const std::shared_ptr<PartRun>& run,
       TasksByGroup* tasks);
 
-  // Gives work to the threads, unless they are being stopped.
+  // Runs the job on a worker thread, unless stopped.
   void Enqueue(std::function<void()> job);
 
-  // Does what an event asked for. No lock may be held.
+  // Performs the effects of an event. No lock may be held.
   void CarryOut(const GroupPtr& group, Effects effects);
   void GiveOut(std::vector<FinishedJob> finished);
   void GiveToPart(const std::shared_ptr<PartRun>& part,
                   std::vector<limits::ShardOutcome> outcomes);
   Millis OnDue(const GroupPtr& group);
 
-  // On worker threads.
+  // These run on worker threads.
   void RunAttempt(const GroupPtr& group, const AttemptOrder& order);
   void SendCancel(const GroupPtr& group, const CancelOrder& order);
   void Prepare(const GroupPtr& group,
@@ -111,14 +112,14 @@
 
   std::shared_mutex groups_mutex_;
   std::map<ServiceId, GroupPtr> groups_;
-  // Groups of services that are gone, while something runs there.
+  // Groups of removed services that still have running work.
   std::vector<GroupPtr> retired_;
   uint64_t last_group_ = 0;
 
   std::mutex parts_mutex_;
   std::map<limits::PartOrigin, std::vector<GroupTask>> parts_;
 
-  // Held to enqueue: the threads must not grow while Stop joins them.
+  // Held while enqueuing, so that no thread is added while Stop joins them.
   std::mutex workers_mutex_;
   http::ConnectionThreads workers_;
   GroupTimers timers_;
@@ -333,7 +334,7 @@
 }
 
 void PartExecutor::Impl::GiveOut(std::vector<FinishedJob> finished) {
-  // One call for each part, since an event often ends several shards of one.
+  // One callback per part, since an event often finishes several of its shards.
   std::map<std::shared_ptr<PartRun>, std::vector<limits::ShardOutcome>> parts;
   for (auto& it : finished) {
     if (it.job.part) {
@@ -355,7 +356,7 @@
   part->on_outcomes(std::move(outcomes));
   if (!last) return;
   const std::lock_guard lock(parts_mutex_);
-  // Gone already if Cancel came between.
+  // Cancel may have erased it meanwhile.
   if (parts_.erase(part->origin) > 0) --in_flight_;
 }
 
@@ -384,7 +385,8 @@
     order.pool->Discard(connection);
   }
   const auto& report = result.report;
-  // Told before the outcome, so that whoever acts on the outcome knows it.
+  // Reported before the outcome, so that a caller acting on the outcome already
+  // has this state.
   if (report.draining || report.incarnation.value != 0) {
     if (on_server_news_) {
       on_server_news_(order.server, report.incarnation, report.draining);
--- a/packages/dispatch/src/reply_check.cc
+++ b/packages/dispatch/src/reply_check.cc
@@ -12,7 +12,7 @@
 constexpr int kOkStatus = 200;
 constexpr int kConflictStatus = 409;
 constexpr int kUnavailableStatus = 503;
-// Versions a server may list; more is not a list anyone can use.
+// Maximum versions a server may list; a longer list is a bad reply.
 constexpr size_t kMaxHeld = 64;
 
 Incarnation ReadIncarnation(const http::Reply& reply) {
@@ -23,14 +23,15 @@
   return ec == std::errc() && rest == end ? Incarnation(n) : Incarnation();
 }
 
-// Whether the header has the value; `if_absent` is the answer without one.
+// Whether the header has this value. Returns `if_absent` without the header.
 bool Echoes(const http::Reply& reply, const std::string& name,
             const std::string& value, bool if_absent) {
   const std::string got = http::HeaderOf(reply, name);
   return got.empty() ? if_absent : got == value;
 }
 
-// Only a 200 must echo; what another status echoes must still be right.
+// Only a 200 must echo the values; in replies with another status they are
+// optional but must match.
 bool EchoesMatch(const ExpectedEcho& expected, const http::Reply& reply) {
   const bool if_absent = reply.status != kOkStatus;
   const std::string version = std::to_string(expected.version.value);
@@ -50,7 +51,7 @@
                      fields == json.end() ? "{}" : DumpJson(*fields)};
 }
 
-// The body's hits, or nothing if it is not a complete answer.
+// The hits in the body; nullopt if it is not a complete answer.
 std::optional<std::vector<limits::Hit>> ReadHits(const std::string& body) {
   const auto parsed = ParseJson(body);
   if (!IsOk(parsed) || !ValueOf(parsed).is_object()) return std::nullopt;
@@ -73,7 +74,7 @@
   return found;
 }
 
-// The versions of {"held": [6, 7]}, or nothing if it is not that.
+// The versions of a body like {"held": [6, 7]}; nullopt for any other body.
 std::optional<std::vector<IndexVersion>> ReadHeld(const std::string& body) {
   const auto parsed = ParseJson(body);
   if (!IsOk(parsed) || !ValueOf(parsed).is_object()) return std::nullopt;
@@ -128,8 +129,8 @@
 CheckedReply CheckReply(const ExpectedEcho& expected,
                         const http::Reply& reply) {
   CheckedReply checked;
-  // A reply that belongs to another attempt, version or server, as after an
-  // address was reused, would put foreign hits into an answer.
+  // A reply to another attempt or from another version or server, for instance
+  // after an address was reused, would add foreign hits to the answer.
   if (!EchoesMatch(expected, reply)) {
     checked.code = Code::kWrongEcho;
     return checked;
--- a/packages/dispatch/src/timers.h
+++ b/packages/dispatch/src/timers.h
@@ -1,4 +1,4 @@
-// One thread that calls back when a key is due.
+// A thread that runs the timers of all groups.
 #pragma once
 
 #include <condition_variable>
@@ -16,20 +16,21 @@
 
 class ExecutorGroup;
 
-// When each group wants its next tick. A tick that comes early does nothing,
-// so that an entry is only ever moved forward here and set anew by the tick.
+// Schedules the next tick of each group. A tick that comes early does nothing,
+// so entries are only moved to earlier times; the tick itself returns the next
+// one.
 class GroupTimers {
  public:
   using GroupPtr = std::shared_ptr<ExecutorGroup>;
 
-  // `tick` is called from the thread and gives the group's next due time.
+  // `tick` is called on the thread and returns the group's next due time.
   explicit GroupTimers(std::function<Millis(const GroupPtr&)> tick);
   ~GroupTimers();
 
-  // Makes sure that the group is ticked at `due` or earlier.
+  // Ensures that the group is ticked at `due` or earlier.
   void WakeBy(const GroupPtr& group, Millis due);
 
-  // Ends the thread.
+  // Stops and joins the thread.
   void Stop();
 
  private:
--- a/packages/dispatch/tests/bad_replies_test.cc
+++ b/packages/dispatch/tests/bad_replies_test.cc
@@ -16,7 +16,7 @@
 namespace hibiscuspick::dispatch {
 namespace {
 
-// A reply that is HTTP, but not the answer to the attempt.
+// A valid HTTP reply that is not a valid answer to the attempt.
 struct ReplyRow {
   const char* name;
   std::function<void(httplib::Response&)> spoil;
@@ -39,7 +39,7 @@
 
 const ReplyRow kReplies[] = {
     {"not JSON", Body("<html>"), Code::kBadReply},
-    {"JSON cut short", Body(R"({"hits": [], "documents": 1, "comp)"),
+    {"truncated JSON", Body(R"({"hits": [], "documents": 1, "comp)"),
      Code::kBadReply},
     {"not complete", Body(R"({"hits": [], "documents": 1, "complete": false})"),
      Code::kBadReply},
@@ -57,8 +57,8 @@
      Code::kWrongEcho},
     {"no server id", [](auto& it) { it.headers.erase("X-Server-Id"); },
      Code::kWrongEcho},
-    {"broken server", [](auto& it) { it.status = 500; }, Code::kBackendError},
-    {"busy, may have run", [](auto& it) { it.status = 503; },
+    {"status 500", [](auto& it) { it.status = 500; }, Code::kBackendError},
+    {"status 503, may have run", [](auto& it) { it.status = 503; },
      Code::kBackendError},
     {"shed",
      [](auto& it) {
@@ -66,7 +66,7 @@
        it.set_header("X-Not-Run", "true");
      },
      Code::kShed},
-    {"version gone",
+    {"version not held",
      [](auto& it) {
        it.status = 409;
        it.set_content(R"({"held": [5, 6]})", "application/json");
@@ -74,7 +74,8 @@
      Code::kVersionNotHeld},
 };
 
-// Bytes that are not a whole HTTP reply, and what the server does after them.
+// Bytes that are not a complete HTTP reply, and what the server does after
+// sending them.
 struct StreamRow {
   const char* name;
   std::string bytes;
@@ -107,7 +108,7 @@
 const char kHead[] = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
 
 const StreamRow kStreams[] = {
-    {"closed without a byte", "", nullptr, Code::kReadFailed},
+    {"closed without a reply", "", nullptr, Code::kReadFailed},
     {"not HTTP", "hello\r\n\r\n", nullptr, Code::kReadFailed},
     {"cut off in the body",
      std::string(kHead) + "Content-Length: 500\r\n\r\n{\"hits\": [", nullptr,
@@ -115,7 +116,7 @@
     {"endless body", std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n",
      SendForEver, Code::kReplyTooLarge},
     {"silent", "", HoldOpen, Code::kDeadlineExceeded},
-    {"endless head", std::string(kHead), TrickleForEver,
+    {"endless headers", std::string(kHead), TrickleForEver,
      Code::kDeadlineExceeded},
 };
 
@@ -129,9 +130,8 @@
 
 }  // namespace
 
-// A backend server answers something that is not the whole reply to the
-// attempt. The user must not see hits of another request, version or server;
-// the shard is missing, with a code that says why.
+// A backend server's reply is not a complete reply to the attempt. Its hits
+// must not enter an answer; the shard fails with a code that tells why.
 BOOST_DATA_TEST_CASE(a_wrong_reply_is_never_an_answer, bdata::make(kReplies),
                      row) {
   FakeBackend b1("b1");
@@ -149,8 +149,8 @@
   BOOST_TEST(outcome.hits.empty());
 }
 
-// One replica answers wrongly, the other well. The user gets every shard, each
-// from the good one.
+// One replica sends bad replies, the other good ones. Every shard must be
+// answered by the good one.
 BOOST_DATA_TEST_CASE(the_other_replica_answers, bdata::make(kReplies), row) {
   FakeBackend b1("b1");
   b1.on_query = [&](const auto&, auto& response) { row.spoil(response); };
@@ -172,8 +172,8 @@
   BOOST_TEST(!b1.SawAttemptTwice());
 }
 
-// A backend server's reply breaks off, never ends or never comes. The caller
-// has its outcome by the deadline, and no thread stays behind: Stop returns.
+// A backend server's reply is cut off, endless or missing. The outcome is
+// delivered by the deadline, and no thread hangs: Stop returns.
 BOOST_DATA_TEST_CASE(a_broken_stream_is_a_failed_attempt, bdata::make(kStreams),
                      row) {
   RawBackend b1(row.bytes, row.after);
--- a/packages/dispatch/tests/executor_fixture.h
+++ b/packages/dispatch/tests/executor_fixture.h
@@ -1,4 +1,4 @@
-// An executor, and a collector of what it gives out.
+// Options, requests and an outcome collector for executor tests.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 namespace hibiscuspick::dispatch {
 
-// Longer than any test needs; only a hang reaches it.
+// A timeout only reached by a hang.
 inline constexpr Millis kHangGuard{30000};
 
 inline ExecutorOptions TestOptions() {
@@ -24,7 +24,7 @@
   return options;
 }
 
-// Gathers the outcomes of one part.
+// Collects the outcomes of one part.
 class Outcomes {
  public:
   PartExecutor::OnOutcomes Sink() {
@@ -38,7 +38,7 @@
     };
   }
 
-  // Waits until so many shards have an outcome; false if that hangs.
+  // Waits until `n` shards have an outcome; false on a timeout.
   bool WaitFor(size_t n) {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, kHangGuard.ToMicros(),
@@ -48,7 +48,7 @@
     const std::lock_guard lock(mutex_);
     return by_shard_[shard];
   }
-  // The most often any shard's outcome was given.
+  // The maximum number of outcomes delivered for one shard.
   int MostTimes() {
     const std::lock_guard lock(mutex_);
     int most = 0;
@@ -72,7 +72,7 @@
   return {{ServiceId("claims"), std::move(servers)}, policy, {}};
 }
 
-// A part of `n` shards p0, p1, … that every server of the config holds.
+// A part of `n` shards p0, p1, … that every configured server holds.
 inline limits::PartRequest MakePart(const GroupConfig& config, int n,
                                     Millis time_left = kHangGuard) {
   limits::PartRequest part;
--- a/packages/dispatch/tests/failures_test.cc
+++ b/packages/dispatch/tests/failures_test.cc
@@ -12,7 +12,7 @@
 namespace hibiscuspick::dispatch {
 namespace {
 
-// A gate that handlers wait at until it is opened.
+// Blocks handlers until it is opened.
 class Gate {
  public:
   void Wait() {
@@ -31,11 +31,11 @@
   bool open_ = false;
 };
 
-// A deadline by which the request has reached the server also on a busy
-// machine, since the test is about what happens after that.
+// A deadline long enough for the request to reach the server even on a busy
+// machine; the tests are about what happens afterwards.
 constexpr Millis kSeenByThen{1500};
 
-// An address where nothing listens.
+// A server whose address nothing listens on.
 settings::BackendServer LostServer(const std::string& id) {
   FakeBackend gone(id);
   gone.Start();
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-// A reply comes after its attempt's deadline, on a connection that is still
-// open. Were that connection used again, the next caller would read the late
+// A reply arrives after its attempt's deadline on a connection that is still
+// open. If the connection were reused, the next attempt would read the late
 // reply as its own.
 BOOST_AUTO_TEST_CASE(a_timed_out_connection_is_never_used_again) {
   Gate gate;
@@ -85,8 +85,8 @@
   BOOST_TEST(ports[0] != ports[1]);
 }
 
-// More shards than slots arrive at once. A server that got more than its slots
-// would shed, or run urgent work behind what it should not have taken.
+// More shards than slots arrive at once. With more attempts than slots the
+// server would shed some or delay urgent ones.
 BOOST_AUTO_TEST_CASE(a_server_never_runs_more_than_its_slots) {
   std::atomic<int> running{0};
   std::atomic<int> most{0};
@@ -110,8 +110,8 @@
   BOOST_TEST((outcomes.Of("p39").code == Code::kOk));
 }
 
-// All replicas of a shard are lost. The caller is told so, and truthfully that
-// nothing ran.
+// Nothing listens on the addresses of all replicas. The shards fail with
+// kConnectFailed, and `ran` is kNo.
 BOOST_AUTO_TEST_CASE(all_replicas_lost) {
   const auto config = MakeGroupConfig({LostServer("b1"), LostServer("b2")});
   PartExecutor executor(TestOptions(), nullptr);
@@ -125,7 +125,7 @@
   }
 }
 
-// One of two replicas is lost. Every shard is still answered.
+// One of two replicas refuses connections. Every shard is still answered.
 BOOST_AUTO_TEST_CASE(one_replica_lost) {
   FakeBackend b2("b2");
   b2.Start();
@@ -140,8 +140,8 @@
   }
 }
 
-// A replica stops answering in the middle of an attempt. The hedge at the other
-// one answers, and the first is cancelled rather than left to run.
+// A replica hangs in the middle of an attempt. The hedge at the other one
+// answers, and the first attempt is cancelled rather than left running.
 BOOST_AUTO_TEST_CASE(a_straggler_is_hedged_and_cancelled) {
   Gate gate;
   std::mutex mutex;
@@ -179,8 +179,8 @@
   gate.Open();
 }
 
-// A server says in a reply that it drains. It finishes what it has; nothing new
-// goes there, and the others hear of it.
+// A server reports a drain in a reply. It finishes its attempts and gets no new
+// ones, and the report is passed on.
 BOOST_AUTO_TEST_CASE(a_draining_server_gets_nothing_new) {
   FakeBackend b1("b1");
   FakeBackend b2("b2");
@@ -211,8 +211,8 @@
   BOOST_TEST((news == expected));
 }
 
-// The instance ends while a query runs. Its part gets an outcome all the same,
-// once, and Stop does not wait for the backend server.
+// The instance stops while a query runs. The part still gets its outcomes, once
+// each, and Stop does not wait for the backend server.
 BOOST_AUTO_TEST_CASE(stop_gives_every_outcome_once) {
   Gate gate;
   FakeBackend b1("b1");
--- a/packages/dispatch/tests/fake_backend.h
+++ b/packages/dispatch/tests/fake_backend.h
@@ -1,4 +1,4 @@
-// A backend server that does as it is told, for tests.
+// Scripted backend servers for tests.
 #pragma once
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 
 namespace hibiscuspick::dispatch {
 
-// Answers as the contract describes, unless `on_query` does it instead.
+// Replies by the backend contract, unless `on_query` changes the reply.
 class FakeBackend {
  public:
   using Handler =
@@ -63,7 +63,7 @@
             25};
   }
 
-  // Fills in a whole, matching answer of one hit named after the shard.
+  // Fills in a complete, valid answer with one hit named after the shard.
   void Answer(const httplib::Request& request, httplib::Response& response) {
     response.set_header("X-Attempt-Id",
                         request.get_header_value("X-Attempt-Id"));
@@ -90,7 +90,7 @@
            attempts_.size();
   }
 
-  // Runs after the answer was filled in and may change it.
+  // Runs after the reply was filled in and may change it.
   Handler on_query;
 
  private:
@@ -106,8 +106,8 @@
   std::set<std::string> cancelled_;
 };
 
-// Answers every connection with the same bytes, however wrong, and then does
-// `after` with the socket before closing it.
+// Replies on every connection with the same bytes, which need not be valid
+// HTTP, then calls `after` with the socket and closes it.
 class RawBackend {
  public:
   using After = std::function<void(int sock)>;
--- a/packages/dispatch/tests/part_executor_test.cc
+++ b/packages/dispatch/tests/part_executor_test.cc
@@ -45,8 +45,8 @@
   BOOST_TEST(executor.InFlight() == 0u);
 }
 
-// A caller hangs up while its query runs. Its attempt is cancelled at the
-// backend server and the slot serves the next caller.
+// A caller disconnects while its query runs. Its attempt is cancelled at the
+// backend server, and the slot is used for the next query.
 BOOST_AUTO_TEST_CASE(cancel_frees_the_slot_and_tells_the_server) {
   std::atomic<bool> hang{true};
   std::atomic<bool> release{false};
--- a/packages/dispatch/tests/record_test.cc
+++ b/packages/dispatch/tests/record_test.cc
@@ -29,9 +29,9 @@
   BOOST_TEST(b1.attempts().size() == 1u);
 }
 
-// The backend server takes the record and dies before it answers. A second try
-// at the other replica would book the claim twice; the user is told that it
-// may have run.
+// The backend server reads the record and closes the connection without a
+// reply. A retry at the other replica could store the record twice; the outcome
+// must say that it may have run.
 BOOST_AUTO_TEST_CASE(a_record_without_an_answer_is_not_tried_again) {
   RawBackend b1("", nullptr);
   RawBackend b2("", nullptr);
@@ -49,8 +49,8 @@
   BOOST_TEST(b1.requests + b2.requests <= 2);
 }
 
-// Nothing listens at the server's address. The user may safely try again, and
-// is told so.
+// Nothing listens on the server's address. A retry is safe, and the outcome
+// says so.
 BOOST_AUTO_TEST_CASE(a_record_that_could_not_be_sent_did_not_run) {
   FakeBackend b1("b1");
   b1.Start();
@@ -63,8 +63,8 @@
   BOOST_TEST((outcome.ran == Ran::kNo));
 }
 
-// The backend server refuses the record for its content. The user sees the
-// server's own reason.
+// The backend server rejects the record for its content. The outcome carries
+// the server's reason.
 BOOST_AUTO_TEST_CASE(a_refused_record_carries_the_reason) {
   FakeBackend b1("b1");
   b1.on_query = [](const auto&, auto& response) {
@@ -80,8 +80,8 @@
   BOOST_TEST(outcome.result == R"({"reason": "no such policy"})");
 }
 
-// Every server of the shard drains. The record waits for nobody and is refused,
-// truly not run.
+// All servers of the shard are drained. The record is refused at once, and
+// `ran` is kNo.
 BOOST_AUTO_TEST_CASE(a_record_for_drained_servers_did_not_run) {
   FakeBackend b1("b1");
   b1.Start();
--- a/packages/dispatch/tests/reply_fuzz_test.cc
+++ b/packages/dispatch/tests/reply_fuzz_test.cc
@@ -88,10 +88,9 @@
 
 }  // namespace
 
-// A backend server's disk, memory or release is bad, and its replies are
-// nearly right. A hit whose score is no number would order the answer by
-// chance, and a reply that is accepted in part would count its shard as
-// covered.
+// A backend server with a faulty disk, memory or release sends nearly valid
+// replies. A hit with a non-finite score would make the order of the answer
+// undefined, and a partly accepted reply would count its shard as covered.
 BOOST_AUTO_TEST_CASE(damaged_replies_give_sound_hits_or_none) {
   const ExpectedEcho expected{"a-1-1", IndexVersion(7), BackendServerId("b1")};
   Random random(3);
--- a/packages/dispatch/tests/stress_test.cc
+++ b/packages/dispatch/tests/stress_test.cc
@@ -16,7 +16,8 @@
 constexpr int kPartsEach = 20;
 constexpr int kShards = 8;
 
-// Answers well, slowly, with an error or with a shed, by the attempt's number.
+// Replies normally, slowly, with an error or with a shed, chosen by a hash of
+// the attempt id.
 void Misbehave(const httplib::Request& request, httplib::Response& response) {
   const size_t hash =
       std::hash<std::string>()(request.get_header_value("X-Attempt-Id"));
@@ -37,7 +38,7 @@
   }
 }
 
-// Sends parts one after another and hangs up on every third.
+// Runs parts one after another and cancels every third.
 void Call(PartExecutor* executor, const GroupConfig& config, int caller,
           std::vector<std::unique_ptr<Outcomes>>* all) {
   for (int i = 0; i < kPartsEach; ++i) {
@@ -56,8 +57,8 @@
 
 }  // namespace
 
-// Many callers at once, some of whom hang up, while backend servers fail in
-// turn. Each caller gets every outcome of its own part, and none twice.
+// Many callers run concurrently, some cancel, and backend servers fail at
+// random. Each caller gets every outcome of its own part, and none twice.
 BOOST_AUTO_TEST_CASE(many_callers_and_failing_servers) {
   FakeBackend b1("b1");
   FakeBackend b2("b2");
@@ -77,7 +78,8 @@
   }
   for (auto& it : callers) it.join();
   executor.Stop();
-  // Only now: a part counts until its last callback has returned.
+  // Checked after Stop, since a part counts until its last callback has
+  // returned.
   BOOST_TEST(executor.InFlight() == 0u);
   for (const auto& parts : outcomes) {
     BOOST_REQUIRE(parts.size() == static_cast<size_t>(kPartsEach));
