--- a/packages/membership/include/hibiscuspick/membership/control_core.h
+++ b/packages/membership/include/hibiscuspick/membership/control_core.h
@@ -1,6 +1,7 @@
-// The decisions of the control thread: who is there, what is spread to whom,
-// who watches the platform. A plain state and one function; no threads,
-// sockets or clocks, so that a whole fleet runs in a test on virtual time.
+// The decisions of the control thread: which instances are members, which
+// changes are sent to which peers, and which instances watch the platform. A
+// state and one pure function without threads, sockets or clocks, so that tests
+// can run many instances on virtual time.
 #pragma once
 
 #include <cstddef>
@@ -25,31 +26,33 @@
 
 struct ControlLimits {
   MemberLimits members;
-  // The shell sends a Tick this often.
+  // Interval at which the caller of Step sends a Tick.
   Millis tick{1000};
-  // A gap between ticks beyond this is a pause of this process.
+  // A longer gap between two ticks counts as a pause of this process.
   Millis pause{2500};
-  // Peers of the own data centre that get a digest each tick.
+  // Peers in this data centre that get a digest each tick.
   size_t digest_peers = 2;
   // Ticks between two digests to another data centre.
   size_t cross_ticks = 5;
-  // Peers of the own data centre that a change is pushed to, and peers in each
-  // other data centre that its origin pushes it to.
+  // A change is pushed to this many peers in this data centre and, by the
+  // instance where it originates, to this many in each other data centre.
   size_t push_peers = 3;
   size_t cross_push_peers = 2;
-  // Configuration up to this many bytes is pushed itself; of more only the
-  // digest is, so that each peer fetches it once.
+  // A configuration delta up to this many bytes is pushed itself. Of a larger
+  // one only a digest is sent, so that each peer fetches the delta once.
   size_t push_bytes = 16 << 10;
-  // Bytes of configuration in one message.
+  // Maximum bytes of configuration in one message.
   size_t delta_bytes = 512 << 10;
-  // Entries in one News.
+  // Maximum entries of each kind in one MembershipDelta.
   size_t news_entries = 128;
-  // Instances of a data centre that watch the platform.
+  // Instances of each data centre that watch the platform.
   size_t watchers = 2;
-  // Without configuration for this long, an instance watches itself.
+  // An instance without configuration for this long watches the platform
+  // itself.
   Millis watch_without_config{3000};
-  // How much the platform's list may lag: a life younger than this that sees
-  // itself listed as leaving takes it for a former life's line.
+  // Maximum lag of the platform's list. An instance that started less than this
+  // ago and is listed as leaving assumes that the entry belongs to an earlier
+  // incarnation.
   Millis list_lag{60000};
 };
 
@@ -58,38 +61,41 @@
   MemberTable table;
   ServerNewsTable servers;
   settings::ConfigStore config;
-  // Own time at which the platform last confirmed the configuration as the
-  // newest, here or at an instance that said so.
+  // Local time at which the platform last confirmed the configuration as the
+  // newest, to this instance or to one that reported it.
   std::optional<Millis> config_confirmed;
-  // Addresses from the settings file and from the platform's list, of
-  // instances that may be there.
+  // Addresses of instances that may be running, from the settings file
+  // (`seeds`) and from the platform's list (`listed`).
   std::vector<Address> seeds;
   std::vector<Peer> listed;
-  // Lives that the platform's list called leaving when it first did.
+  // The state of each member when the platform's list first showed it as
+  // leaving.
   std::map<InstanceId, MemberState> listed_leaving;
-  // Not before the first tick.
+  // Time of the first tick.
   std::optional<Millis> started;
   Millis last_tick;
   uint64_t ticks = 0;
   bool watching = false;
-  // What the published view was made from.
+  // The generations that the published view was made from.
   uint64_t view_number = 0;
   uint64_t view_generation = 0;
   uint64_t servers_generation = 0;
   uint64_t view_servers_generation = 0;
-  // The buckets of a generation of each table.
+  // Digest buckets, cached for one generation of each table.
   std::optional<uint64_t> member_buckets_generation;
   MemberBuckets member_buckets{};
   std::optional<uint64_t> server_buckets_generation;
   ServerBuckets server_buckets{};
-  // The config digest of a generation of the store.
+  // The configuration's part of a digest, cached for one generation of the
+  // store.
   uint64_t digest_generation = 0;
   uint64_t digest_hash = 0;
   Revision digest_newest;
 };
 
-// The state of an instance that starts. `self.incarnation` is to be higher
-// than in any earlier life: the wall clock's milliseconds at start.
+// Returns the state of an instance that starts. `self.incarnation` must be
+// higher than in any earlier incarnation of this id: the wall clock's
+// milliseconds at start.
 ControlState StartControl(const MemberState& self, std::vector<Address> seeds,
                           const ControlLimits& limits);
 
@@ -103,25 +109,26 @@
 struct PeerFailed {
   InstanceId peer;
 };
-// The platform's list of instances. A hint: whoever is listed may be there,
-// and whoever is not proves nothing.
+// The platform's list of instances. Only a hint: a listed instance may be
+// running, but a missing one need not be gone.
 struct PlatformList {
   std::vector<platform::ListedInstance> instances;
 };
-// A sign that a backend server drains, from any source.
+// A report from any source that a backend server is draining.
 struct LocalNews {
   ServerNews news;
 };
-// An operator's word that a server takes work again in the same life.
+// An operator's command that a draining server takes requests again in the same
+// incarnation.
 struct LocalUndrain {
   BackendServerId server;
 };
-// An accepted write (a delta from 0 to 0 with one object).
+// An accepted write: a delta from 0 to 0 with one object.
 struct AcceptedConfig {
   settings::ConfigDelta delta;
 };
-// The platform's answer to a list or watch after `delta.after`, asked when the
-// watermark was `known`.
+// The platform's reply to a list or watch after `delta.after`, requested when
+// the watermark was `known`.
 struct WatchedConfig {
   settings::ConfigDelta delta;
   Revision known;
@@ -142,29 +149,31 @@
 struct PublishView {
   ViewPointer view;
 };
-// ControlState::config changed; the names of the objects that went up.
+// ControlState::config changed. `changed` names the objects with a higher
+// version.
 struct ApplyConfig {
   std::vector<std::string> changed;
 };
-// This instance's role changed: watch the platform's configuration and list of
-// instances, or stop.
+// This instance's role changed: start or stop watching the platform's
+// configuration and list of instances.
 struct StartWatching {};
 struct StopWatching {};
-// Another life used this id with a higher incarnation; the own one was raised
-// and the mesh has to say the new one.
+// Another process used this id with a higher incarnation. This instance's
+// incarnation was raised, and the mesh must use the new one.
 struct AdoptIncarnation {
   Incarnation incarnation;
 };
-// A member's change, to be logged.
+// A change of a member, to be logged.
 struct MemberChange {
   InstanceId id;
   DataCentreId data_centre;
   Phase phase = Phase::kStarting;
   bool suspect = false;
-  // "joined", "left", "silent", … as a short sentence's verb.
+  // A verb phrase such as "serves" or "is silent", which follows the id in the
+  // log.
   std::string what;
 };
-// Something that an operator should see.
+// A condition that an operator should see.
 struct Alarm {
   Error error;
 };
@@ -172,14 +181,14 @@
     std::variant<SendTo, PublishView, ApplyConfig, StartWatching, StopWatching,
                  AdoptIncarnation, MemberChange, Alarm>;
 
-// The one decision function.
+// Handles one event and returns the actions to carry out.
 std::vector<Action> Step(ControlState* state, const Event& event, Millis now,
                          Random* random);
 
-// Whether the instance knows a configuration.
+// Whether the instance has a configuration.
 bool IsConfigured(const ControlState& state);
 
-// Whether the instance is one of the data centre's watchers of the platform.
+// Whether the instance is one of its data centre's watchers of the platform.
 bool IsWatcher(const ControlState& state);
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/include/hibiscuspick/membership/gossip_message.h
+++ b/packages/membership/include/hibiscuspick/membership/gossip_message.h
@@ -1,4 +1,4 @@
-// What control cores say to each other.
+// Messages between the control cores of two instances.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,16 @@
 
 namespace hibiscuspick::membership {
 
-// How long ago the sender, or whoever told it, heard from the data centre.
+// Time since the data centre was last heard from, by the sender or by the
+// instance that reported it.
 struct DataCentreAge {
   DataCentreId id;
   Millis age;
 };
 
-// Hashes of what the sender knows. Constant in size but for the heartbeats,
-// so that in quiet times an exchange costs about a kilobyte whatever the size
-// of the configuration.
+// Hashes of the sender's state. All fields but the heartbeats are constant in
+// size, so that without changes an exchange costs about a kilobyte, whatever
+// the size of the configuration.
 struct Digest {
   MemberState sender;
   bool reply_wanted = false;
@@ -30,15 +31,15 @@
   // The highest version of any object.
   Revision config_newest;
   uint64_t config_hash = 0;
-  // Either empty (a reply whose hashes agree) or one hash for each bucket.
+  // Either empty (in a reply if the hashes agree) or one hash for each bucket.
   std::vector<uint32_t> member_buckets;
   std::vector<uint32_t> server_buckets;
-  // Heartbeats by LifeKey, both lists in step.
+  // Heartbeats by IncarnationKey; both lists have the same order.
   std::vector<uint64_t> heartbeat_keys;
   std::vector<uint32_t> heartbeats;
   std::vector<DataCentreAge> data_centres;
-  // How long ago the platform confirmed, to the sender or to whoever told it,
-  // that config_complete_to is the newest. None if nobody has.
+  // Time since the platform confirmed, to the sender or to the instance that
+  // reported it, that config_complete_to is the newest. None if unconfirmed.
   std::optional<Millis> config_age;
 };
 
@@ -46,9 +47,9 @@
 struct News {
   std::vector<MemberState> members;
   std::vector<ServerNews> servers;
-  // A change on its way: whoever hears it first passes it on. A repair that
-  // answers a digest is not, or a newcomer would flood its peers with what
-  // they all know.
+  // Marks a new change, which each instance forwards when it first receives it.
+  // Not set in replies to digests: a new instance would flood its peers with
+  // entries that they all have.
   bool pass_on = false;
 };
 
--- a/packages/membership/include/hibiscuspick/membership/member.h
+++ b/packages/membership/include/hibiscuspick/membership/member.h
@@ -1,4 +1,4 @@
-// One instance of the fleet as others know it, and the order between two
+// The state of one instance as known to others, and the order between two
 // reports of it.
 #pragma once
 
@@ -9,12 +9,12 @@
 
 namespace hibiscuspick::membership {
 
-// Only ever rises within one life, but for a refutation.
+// Only increases within one incarnation, except by a refutation.
 enum class Phase {
-  // Has no configuration yet; takes no traffic.
+  // Has no configuration yet and takes no traffic.
   kStarting,
   kServing,
-  // Finishes what it has; owns nothing.
+  // Finishes running work; owns no services.
   kLeaving,
   // Stopped, or silent for too long.
   kGone,
@@ -23,32 +23,33 @@
 struct MemberState {
   InstanceId id;
   DataCentreId data_centre;
-  // Where it listens for other instances.
+  // Address at which it listens for other instances.
   Address inner;
   Incarnation incarnation;
-  // How often this life has contradicted a report that it was gone.
+  // How often this incarnation has refuted a report that it was leaving or
+  // gone.
   uint32_t refutations = 0;
   Phase phase = Phase::kStarting;
-  // Rises each second. Known inside the member's data centre only.
+  // Increases each second. Only known inside the member's data centre.
   uint64_t heartbeat = 0;
 
   bool operator==(const MemberState&) const = default;
 };
 
-// Whether `a` replaces `b` as a report of the same instance, heartbeats aside:
-// a later life first, then a later refutation, then the later phase. Old
-// gossip can therefore never revive an instance that has left.
+// Whether `a` replaces `b` as a report of the same instance: the order is by
+// incarnation, then refutations, then phase; heartbeats are ignored. Old gossip
+// can therefore never revive an instance that has left.
 bool Replaces(const MemberState& a, const MemberState& b);
 
-// Names one life of one instance in a digest.
+// Identifies one incarnation of one instance in a digest.
 uint64_t LifeKey(const MemberState& state);
 
-// Whom to send to. An empty id means whoever listens at the address, as with a
-// seed from the settings file.
+// The destination of a message. An empty id means any instance that listens at
+// the address, as with a seed from the settings file.
 struct Peer {
   InstanceId id;
   Address address;
-  // 0 if not known.
+  // 0 if unknown.
   Incarnation incarnation;
 };
 
--- a/packages/membership/include/hibiscuspick/membership/member_table.h
+++ b/packages/membership/include/hibiscuspick/membership/member_table.h
@@ -1,4 +1,4 @@
-// All instances that this one knows of, and how fresh the knowledge is.
+// The members known to this instance, and when each was last heard from.
 #pragma once
 
 #include <array>
@@ -15,26 +15,26 @@
 namespace hibiscuspick::membership {
 
 struct MemberLimits {
-  // Silence of a member of the own data centre after which it is asked last,
-  // and after which it counts as gone. At 66 members and two digests a second
-  // a beat takes up to 4 s to get round: with 3 s here, each daemon wrongly
-  // suspected somebody every half minute (benchmarks/gossip).
+  // Silence of a member in this data centre after which it is suspect
+  // (contacted last), and after which it counts as gone. With 66 members and
+  // two digests a second a heartbeat takes up to 4 s to reach all: at 3 s each
+  // daemon wrongly suspected a member every half minute (benchmarks/gossip).
   Millis suspect_after{5000};
   Millis gone_after{10000};
-  // The same when most of the data centre has fallen silent at once.
+  // Replaces gone_after while most of the data centre is silent.
   Millis most_gone_after{60000};
-  // How long a member is asked last after the mesh failed to reach it.
+  // How long a member is suspect after the mesh failed to reach it.
   Millis distrust_failed_for{5000};
-  // Silence of another data centre after which its members are asked last.
+  // Silence of another data centre after which its members are suspect.
   Millis data_centre_suspect_after{15000};
-  // How long an instance that is gone is remembered, so that old gossip cannot
-  // bring it back; also how long a silent data centre's members are kept.
+  // How long a gone instance is remembered, so that old gossip cannot revive
+  // it, and how long the members of a silent data centre are kept.
   Millis forget_after{3600000};
 };
 
 struct Member {
   MemberState state;
-  // Own time of the last rise of the heartbeat or of the state.
+  // Local time of the last increase of the heartbeat or change of the state.
   Millis heard;
   bool suspect = false;
   // When the mesh last failed to reach it.
@@ -44,38 +44,39 @@
 struct MemberTable {
   InstanceId self;
   DataCentreId data_centre;
-  // The own entry included.
+  // Includes this instance.
   std::map<InstanceId, Member> members;
-  // Own time at which each other data centre was last heard from.
+  // Local time at which each other data centre was last heard from.
   std::map<DataCentreId, Millis> data_centres_heard;
-  // Whether a report that this instance is leaving is contradicted. The
-  // platform's list lags, and may show a former life of this instance's id.
+  // Whether this instance refutes a report that it is leaving. The platform's
+  // list lags and may show an earlier incarnation of this id.
   bool refute_leaving = true;
-  // Changes with everything that the view or the buckets show.
+  // Incremented when anything that the view or the buckets show changes.
   uint64_t generation = 0;
 };
 
 enum class Merge {
-  // Nothing new, or a report of a gone instance that is not known here.
+  // Nothing new, or a report of a gone instance that is unknown here.
   kOld,
   // Only the heartbeat was newer.
   kHeartbeat,
   // The entry was replaced.
   kChanged,
-  // The report was about this instance and wrong; the own entry was raised
-  // above it and has to be spread.
+  // A wrong report about this instance: its entry was raised above the report
+  // and must be pushed to the peers.
   kRefuted,
 };
 
-// Takes a report of one member.
+// Merges a report of one member.
 Merge MergeMember(MemberTable* table, const MemberState& state, Millis now);
 
-// Takes a heartbeat from a digest; false if the life is not known or the beat
-// not newer.
+// Merges a heartbeat from a digest. Returns false if the incarnation is unknown
+// or the heartbeat is not newer.
 bool MergeHeartbeat(MemberTable* table, const InstanceId& id, uint64_t beat,
                     Millis now);
 
-// The mesh could not reach the member: it is asked last for a while.
+// Records that the mesh could not reach the member, which makes it suspect for
+// a while.
 void MarkFailed(MemberTable* table, const InstanceId& id, Millis now);
 
 struct SweepResult {
@@ -85,20 +86,22 @@
   std::vector<InstanceId> forgotten;
 };
 
-// Judges silence. Called each tick.
+// Updates suspicion, removal and expiry from the members' silence. Called each
+// tick.
 SweepResult Sweep(MemberTable* table, const MemberLimits& limits, Millis now);
 
-// After a pause of this process: its silence is its own, so nobody is judged
-// by it. Without this an instance that wakes would call all others gone.
+// Adds a pause of this process to all times, since members only appeared silent
+// during it. Otherwise an instance that resumes would report all others as
+// gone.
 void ForgivePause(MemberTable* table, Millis pause);
 
-// The own entry.
+// The entry of this instance.
 Member& SelfOf(MemberTable* table);
 const Member& SelfOf(const MemberTable& table);
 
-// Buckets of a digest. A bucket's hash covers the entries of its members but
-// for heartbeats and for those gone, which each instance forgets in its own
-// time.
+// Buckets of a digest. A bucket's hash covers its members without their
+// heartbeats, and without those gone, which each instance forgets at a time of
+// its own.
 inline constexpr size_t kMemberBuckets = 64;
 using MemberBuckets = std::array<uint32_t, kMemberBuckets>;
 size_t MemberBucketOf(const InstanceId& id);
--- a/packages/membership/include/hibiscuspick/membership/placement.h
+++ b/packages/membership/include/hibiscuspick/membership/placement.h
@@ -1,6 +1,7 @@
-// Which instance owns the backend servers of a service. Pure and without
-// talk: instances with the same view name the same owner, and while views
-// differ two owners at once only cost some shedding.
+// Selects the instance that owns the backend servers of a service. A pure
+// function of the view: instances with the same view select the same owner
+// without communication. While views differ, two simultaneous owners only cause
+// some load shedding.
 #pragma once
 
 #include <cstddef>
@@ -14,32 +15,33 @@
 
 namespace hibiscuspick::membership {
 
-// Candidates taken from each data centre.
+// Candidates from each data centre.
 inline constexpr size_t kOwnersPerDataCentre = 2;
 
-// The instances to ask for work on a service, the owner first. `servers` holds
-// the data centre of each of its backend servers. Rendezvous hashing over the
-// serving members of the data centre with the most servers (ties by name), the
-// first two, then the same for the next. A member that comes or goes moves
-// only the services that it owns. Suspects go behind all others; if no data
-// centre with servers has a member, any serving member will do. Empty if
-// nobody serves.
+// Returns the instances that may be asked to run work of a service, the owner
+// first. `servers` holds the data centre of each backend server of the service.
+// For each data centre, by descending number of servers (ties by name), takes
+// the first kOwnersPerDataCentre of its serving members in rendezvous order, so
+// that a member that joins or leaves moves only the services that it owns.
+// Suspects are moved to the end. If no data centre with servers has a serving
+// member, any serving member may be selected; empty if there is none.
 std::vector<InstanceId> OwnersFor(const ServiceId& service,
                                   const std::vector<DataCentreId>& servers,
                                   const MembershipView& view);
 
-// The same from the service's object.
+// As above, for the service's object.
 std::vector<InstanceId> OwnersFor(const settings::Service& service,
                                   const MembershipView& view);
 
 using Placement = std::map<ServiceId, std::vector<InstanceId>>;
 
-// The candidates of every service. Hashes each member of the data centre for
-// each service, so that it is made once for each view and not for each query.
+// Computes the candidates of every service. Hashes each member of a data centre
+// for each service, so it is done once for each view rather than for each
+// query.
 Placement PlacementOf(const std::vector<settings::Service>& services,
                       const MembershipView& view);
 
-// A service whose owner is another than before; empty for none.
+// A change of a service's owner. An empty id means no owner.
 struct PlacementChange {
   ServiceId service;
   InstanceId from;
@@ -47,12 +49,12 @@
   bool operator==(const PlacementChange&) const = default;
 };
 
-// What to log when a placement replaces another.
+// Returns the differences between two placements, for the log.
 std::vector<PlacementChange> PlacementChanges(const Placement& before,
                                               const Placement& after);
 
-// The instances of a data centre in the order in which they take a role; used
-// for placement and for the watch of the platform.
+// Orders the instances of a data centre for a role by rendezvous hashing. Used
+// for placement and for the choice of the platform's watchers.
 std::vector<InstanceId> RendezvousOrder(std::string_view key,
                                         const std::vector<InstanceId>& ids);
 
--- a/packages/membership/include/hibiscuspick/membership/reply_news.h
+++ b/packages/membership/include/hibiscuspick/membership/reply_news.h
@@ -1,4 +1,4 @@
-// What a backend server's reply adds to the news of it.
+// Derives drain reports from the replies of backend servers.
 #pragma once
 
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace hibiscuspick::membership {
 
-// The news in a reply that names its server's life and says whether it drains;
-// none if the table knows as much.
+// Returns the report in a reply that names its server's incarnation and whether
+// it is draining; none if the table already has it.
 std::optional<ServerNews> NewsOfReply(const ServerNewsTable& table,
                                       const BackendServerId& server,
                                       Incarnation incarnation, bool draining);
--- a/packages/membership/include/hibiscuspick/membership/server_news.h
+++ b/packages/membership/include/hibiscuspick/membership/server_news.h
@@ -1,12 +1,12 @@
-// What the fleet knows of backend servers that are leaving. The first sign
-// from any source is enough, and old news cannot revive a server: of two
-// reports the higher (round, incarnation, draining) wins.
+// The drain state of backend servers as known to all instances. One report from
+// any source suffices, and an old report cannot end a drain: of two reports the
+// one with the higher (round, incarnation, draining) wins.
 //
 // A drain whose source does not know the incarnation, such as an operator's
-// word while the platform is down, stands above every incarnation of its
-// round. Otherwise the next reply of the very life that is to be drained, which
-// does tell its incarnation, would look like a new life and end the drain. Only
-// an operator takes such a drain back.
+// command while the platform is down, ranks above every incarnation of its
+// round. Otherwise the next reply of the draining server, which does name its
+// incarnation, would look like that of a new incarnation and end the drain.
+// Only an operator can revoke such a drain.
 #pragma once
 
 #include <array>
@@ -20,10 +20,9 @@
 
 struct ServerNews {
   BackendServerId server;
-  // 0 if the source did not give one (the header is optional).
+  // 0 if the source did not name one (the header is optional).
   Incarnation incarnation;
-  // Raised when an operator says that the server takes work again although
-  // nothing shows a new incarnation.
+  // Incremented when an operator revokes a drain without a new incarnation.
   uint64_t round = 0;
   bool draining = false;
 
@@ -35,10 +34,11 @@
 
 using ServerNewsTable = std::map<BackendServerId, ServerNews>;
 
-// Takes the news if it is newer; true if it was.
+// Merges a report; returns whether it was newer.
 bool MergeServer(ServerNewsTable* table, const ServerNews& news);
 
-// The news by which an operator takes back a drain in the table: one round up.
+// Returns the report by which an operator revokes a drain in the table: the
+// next round, not draining.
 ServerNews UndrainOf(const ServerNewsTable& table,
                      const BackendServerId& server);
 
--- a/packages/membership/include/hibiscuspick/membership/view.h
+++ b/packages/membership/include/hibiscuspick/membership/view.h
@@ -1,4 +1,4 @@
-// The immutable picture of the fleet that the control thread publishes to
+// The immutable view of all instances that the control thread publishes to the
 // traffic threads.
 #pragma once
 
@@ -19,34 +19,34 @@
   Address inner;
   Incarnation incarnation;
   Phase phase = Phase::kStarting;
-  // Silent for a while, or in a data centre from which nothing is heard. Asked
-  // last, but not given up.
+  // Silent for a while, or in a silent data centre. Contacted last, but still a
+  // member.
   bool suspect = false;
 
   bool operator==(const ViewMember&) const = default;
 };
 
 struct MembershipView {
-  // This instance; it is among `members` too.
+  // This instance; also in `members`.
   InstanceId self;
   DataCentreId data_centre;
-  // All but those gone.
+  // All members except those gone.
   std::map<InstanceId, ViewMember> members;
   ServerNewsTable servers;
-  // Rises with each published view of this process.
+  // Incremented with each view that this process publishes.
   uint64_t number = 0;
 };
 
 using ViewPointer = std::shared_ptr<const MembershipView>;
 
-// The member, or null.
+// Returns the member, or nullptr.
 const ViewMember* FindMember(const MembershipView& view, const InstanceId& id);
 
-// Whether news says that the server takes no new work. Drains that are in the
-// configuration are apart from this.
+// Whether a drain report says that the server takes no new work. Drains in the
+// configuration are not included.
 bool IsDraining(const MembershipView& view, const BackendServerId& server);
 
-// The other members, as the mesh wants them.
+// The other members, as destinations for the mesh.
 std::vector<Peer> PeersOf(const MembershipView& view);
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/src/config_spread.cc
+++ b/packages/membership/src/config_spread.cc
@@ -1,5 +1,6 @@
-// How configuration passes between instances: pushed when it changes, repaired
-// by digests. The store itself sees to it that nothing goes back.
+// Distributes configuration between instances: changes are pushed, and digests
+// repair what was lost. The configuration store itself ensures that no version
+// decreases.
 #include <algorithm>
 
 #include "turn.h"
@@ -13,7 +14,7 @@
 using settings::ConfigObject;
 using settings::DeltaSince;
 
-// The digest's fields, computed once for each generation of the store.
+// Recomputes the digest's fields if the store's generation has changed.
 void RefreshDigest(ControlState* state) {
   if (state->digest_generation == state->config.generation) return;
   state->digest_generation = state->config.generation;
@@ -34,9 +35,9 @@
   return size;
 }
 
-// The start of a delta, up to about `bytes`. Cut between two versions it is a
-// whole delta itself, up to the last version it holds; the next digest brings
-// the rest.
+// Returns the objects of a delta with the lowest versions, up to about `bytes`.
+// The result is a complete delta up to its last version; the next digest
+// requests the rest.
 ConfigDelta FirstOf(ConfigDelta delta, size_t bytes) {
   std::sort(delta.objects.begin(), delta.objects.end(),
             [](const auto& a, const auto& b) { return a.version < b.version; });
@@ -60,17 +61,18 @@
   turn->actions.push_back(ApplyConfig{std::move(applied.changed)});
 }
 
-// Same watermark and no single newer object on either side: whatever differs
-// lies below the watermark, where a digest can't tell what it is.
+// Whether both sides have the same watermark and no object above it. Any
+// difference then lies below the watermark, where a digest cannot identify it.
 bool HasNothingBeyond(const ControlState& state, const Digest& digest) {
   return state.config.complete_to == digest.config_complete_to &&
          state.digest_newest <= state.config.complete_to &&
          digest.config_newest <= digest.config_complete_to;
 }
 
-// Two instances that both claim to have everything up to one revision and
-// still differ: the platform gave a version twice. Objects that are newer on
-// one side get across by sending all, now and then since it is expensive.
+// Decides whether to send the whole configuration to an instance with the same
+// watermark but another content, which means that the platform assigned a
+// version twice. Sending everything transfers the objects that are newer here;
+// since it is expensive it is done once in kOneIn times.
 bool MayRepairAll(Turn* turn, const Peer& to) {
   constexpr size_t kOneIn = 8;
   if (turn->random->Below(kOneIn) != 0) return false;
@@ -81,8 +83,8 @@
   return true;
 }
 
-// Hands a change on. Of a large one only the news that it exists goes out, so
-// that nobody is sent a megabyte three times.
+// Pushes a change. Of a large one only a digest is sent, so that no peer
+// receives a megabyte several times.
 void Push(Turn* turn, const ConfigDelta& delta, Reach reach,
           const InstanceId& except) {
   const bool small = SizeOf(delta) <= turn->state->limits.push_bytes;
@@ -111,7 +113,7 @@
 void TakeConfigAge(Turn* turn, const Digest& digest) {
   ControlState* state = turn->state;
   if (!digest.config_age || *digest.config_age < Millis(0)) return;
-  // What was confirmed to the sender is not all known here yet.
+  // The confirmation refers to a configuration that is not complete here yet.
   if (state->config.complete_to < digest.config_complete_to) return;
   const Millis confirmed = turn->now - *digest.config_age;
   state->config_confirmed =
@@ -137,8 +139,8 @@
   auto delta = DeltaSince(state.config,
                           diverged ? Revision() : digest.config_complete_to);
   if (!further) {
-    // Only single objects above the other's watermark: they prove nothing
-    // about what lies between.
+    // Single objects above the other's watermark say nothing about the versions
+    // in between, so they must not raise it.
     delta.after = Revision();
     delta.complete_to = Revision();
     if (delta.objects.empty()) return;
@@ -170,7 +172,8 @@
   const bool changed = !applied.changed.empty();
   const bool gap = applied.gap;
   Note(turn, std::move(applied));
-  // What a newcomer hears first everybody else knows.
+  // An instance does not push its first configuration, since its peers already
+  // have it.
   if (changed && !fresh) Push(turn, delta, Reach::kOwnDataCentre, from);
   if (!gap) return;
   auto digest = MakeDigest(turn, false);
--- a/packages/membership/src/control_core.cc
+++ b/packages/membership/src/control_core.cc
@@ -9,7 +9,8 @@
 namespace hibiscuspick::membership {
 namespace {
 
-// Waking from a pause, all others look silent and none of them is.
+// After a pause of this process all members appear silent although they are
+// not.
 void NoticePause(Turn* turn) {
   auto& state = *turn->state;
   const Millis gap = turn->now - state.last_tick;
@@ -25,7 +26,7 @@
   auto& state = *turn->state;
   const auto swept = Sweep(&state.table, state.limits.members, turn->now);
   NoteAll(turn, swept.suspected, "is silent");
-  NoteAll(turn, swept.trusted, "is heard again");
+  NoteAll(turn, swept.trusted, "responds again");
   NoteAll(turn, swept.gone, "is gone");
   NoteAll(turn, swept.forgotten, "is forgotten");
   News news;
@@ -38,8 +39,8 @@
 bool WantsWatch(const ControlState& state, Millis now) {
   if (IsWatcher(state)) return true;
   if (IsConfigured(state)) return false;
-  // No peer has helped so far: better one more caller at the platform than an
-  // instance that stays without configuration.
+  // No peer has sent a configuration so far. One more watcher of the platform
+  // is better than an instance without configuration.
   return now - *state.started >= state.limits.watch_without_config;
 }
 
@@ -96,8 +97,8 @@
   MarkFailed(&turn->state->table, event.peer, turn->now);
 }
 
-// Whether the line is about the life that is known: the list carries no
-// incarnation, and goes on showing a former life for a while.
+// Whether the list entry is about the known incarnation. The list carries no
+// incarnation and may show an earlier one for a while.
 bool IsOfThisLife(ControlState* state, const MemberState& known) {
   const auto [it, first] = state->listed_leaving.try_emplace(known.id, known);
   return first || (it->second.incarnation == known.incarnation &&
--- a/packages/membership/src/gossip.cc
+++ b/packages/membership/src/gossip.cc
@@ -1,4 +1,4 @@
-// Digests and the entries that answer them.
+// Digests and the entries sent in reply to them.
 #include <algorithm>
 #include <unordered_map>
 
@@ -8,8 +8,8 @@
 namespace hibiscuspick::membership {
 namespace {
 
-// Hashed anew only after a change: in quiet times an exchange would otherwise
-// spend most of its time on this.
+// Cached until the table changes: without changes, hashing would otherwise take
+// most of the time of an exchange.
 const MemberBuckets& MemberBucketsOf(ControlState* state) {
   if (state->member_buckets_generation != state->table.generation) {
     state->member_buckets_generation = state->table.generation;
@@ -58,8 +58,7 @@
   }
 }
 
-// Takes the beats that are newer, and leaves in `reply` only those that are
-// newer here.
+// Merges newer heartbeats and leaves in `reply` only those that are newer here.
 void TakeHeartbeats(Turn* turn, const Digest& digest, Digest* reply) {
   auto& table = turn->state->table;
   std::unordered_map<uint64_t, uint64_t> beats;
@@ -82,7 +81,7 @@
   }
 }
 
-// Entries of the buckets whose hashes differ.
+// Returns the entries in the buckets whose hashes differ.
 News DifferingEntries(ControlState* state, const Digest& digest) {
   News news;
   if (digest.member_buckets.size() == kMemberBuckets) {
@@ -116,8 +115,8 @@
                      digest.server_buckets.end());
 }
 
-// Keeps `n` entries from a random place on, so that over several rounds all
-// get across.
+// Keeps `n` entries from a random position on, so that several exchanges
+// transfer all of them.
 template <class T>
 void Cut(std::vector<T>* entries, size_t n, Random* random) {
   if (entries->size() <= n) return;
@@ -146,8 +145,9 @@
   return digest;
 }
 
-// What the other lacks is sent; a digest goes back only if something is newer
-// there, or newer beats are here.
+// Returns a digest if buckets differ, the sender is in another data centre or
+// has newer configuration, or newer heartbeats are known here. The entries that
+// the sender lacks are sent separately.
 void ReplyTo(Turn* turn, const Peer& to, const Digest& digest, Digest reply) {
   const auto& state = *turn->state;
   const bool differ = BucketsDiffer(turn->state, digest);
@@ -201,9 +201,8 @@
     NoteMember(turn, state.id, std::string(VerbOf(state.phase)));
   }
   if (merge != Merge::kRefuted) return merge;
-  NoteMember(
-      turn, state.id,
-      "contradicts a report that it " + std::string(VerbOf(state.phase)));
+  NoteMember(turn, state.id,
+             "refutes a report that it " + std::string(VerbOf(state.phase)));
   const auto after = SelfOf(table).state.incarnation;
   if (after != before) turn->actions.push_back(AdoptIncarnation{after});
   PushSelf(turn);
@@ -229,7 +228,8 @@
     const auto& id = others[turn->random->Below(others.size())];
     for (auto& it : PickPeers(turn, id, 1)) peers.push_back(std::move(it));
   }
-  // Alone, each tick; otherwise now and then.
+  // Unconnected instances are contacted each tick if there is no other peer,
+  // else at random, once in this many ticks.
   constexpr size_t kStrangerOneIn = 8;
   if (peers.empty() || turn->random->Below(kStrangerOneIn) == 0) {
     if (auto it = PickStranger(turn)) peers.push_back(std::move(*it));
--- a/packages/membership/src/member_table.cc
+++ b/packages/membership/src/member_table.cc
@@ -7,14 +7,15 @@
 namespace hibiscuspick::membership {
 namespace {
 
-// Raises the own entry above a report that contradicts it.
+// Raises this instance's entry above a report that contradicts it.
 Merge MergeSelf(MemberTable* table, const MemberState& state) {
   auto& self = SelfOf(table).state;
   if (!Replaces(state, self)) return Merge::kOld;
   ++table->generation;
   if (state.incarnation > self.incarnation) {
-    // An earlier life had a higher number: its machine's clock was ahead. As
-    // long as ours is lower nobody believes a word of this instance.
+    // An earlier incarnation had a higher number because its machine's clock
+    // was ahead. Until this one is higher, the peers ignore this instance's
+    // reports.
     self.incarnation = Incarnation(state.incarnation.value + 1);
     self.refutations = 0;
     return Merge::kRefuted;
@@ -31,7 +32,7 @@
 
 bool IsSilent(Millis silence, Millis limit) { return silence > limit; }
 
-// How the own data centre's others look from here.
+// Counts the other members of this data centre and the silent ones among them.
 struct Silence {
   size_t others = 0;
   size_t silent = 0;
@@ -49,10 +50,10 @@
   return result;
 }
 
-// Silence after which a member of the own data centre counts as gone. When
-// most are silent at once, it is more likely this instance that is cut off, or
-// a switch that will come back, and calling them all gone would only make each
-// of them contradict it: so, later.
+// Returns the silence after which a member of this data centre counts as gone.
+// If most are silent at once, this instance is probably cut off, or a switch
+// has failed temporarily. Reporting them all as gone would only make each of
+// them refute it, so the limit is longer.
 Millis GoneAfter(const MemberTable& table, const MemberLimits& limits,
                  Millis now) {
   constexpr size_t kFewest = 3;
@@ -107,7 +108,7 @@
   if (state.id == table->self) return MergeSelf(table, state);
   const auto it = table->members.find(state.id);
   if (it == table->members.end()) {
-    // Taking the gone too would hand a forgotten one round for ever.
+    // Accepting a gone instance would let a forgotten one circulate forever.
     if (state.phase == Phase::kGone) return Merge::kOld;
     table->members[state.id] = Member{state, now, false, std::nullopt};
     table->data_centres_heard.try_emplace(state.data_centre, now);
--- a/packages/membership/src/peers.cc
+++ b/packages/membership/src/peers.cc
@@ -6,7 +6,7 @@
 namespace hibiscuspick::membership {
 namespace {
 
-// `n` random ones of the peers, in random order.
+// Returns `n` random peers in random order.
 std::vector<Peer> Sample(std::vector<Peer> peers, size_t n, Random* random) {
   const size_t count = std::min(n, peers.size());
   for (size_t i = 0; i < count; ++i) {
--- a/packages/membership/src/placement.cc
+++ b/packages/membership/src/placement.cc
@@ -9,8 +9,8 @@
 namespace hibiscuspick::membership {
 namespace {
 
-// The data centres that hold servers, the one with the most first, ties by
-// name.
+// Returns the data centres that have servers, by descending number of servers,
+// ties by name.
 std::vector<DataCentreId> ByServers(const std::vector<DataCentreId>& servers) {
   std::map<DataCentreId, size_t> counts;
   for (const auto& it : servers) ++counts[it];
@@ -38,7 +38,7 @@
 
 std::string KeyOf(const ServiceId& service) { return "owner " + service.text; }
 
-// The first few of the ids in rendezvous order.
+// Appends the first kOwnersPerDataCentre ids in rendezvous order.
 void AppendOwners(const ServiceId& service, const std::vector<InstanceId>& ids,
                   std::vector<InstanceId>* owners) {
   auto order = RendezvousOrder(KeyOf(service), ids);
@@ -63,7 +63,7 @@
     }
     AppendOwners(service, all, &owners);
   }
-  // A suspect in front would cost every query the wait for its silence.
+  // Each query would wait for the timeout of a suspect in the first place.
   std::stable_partition(owners.begin(), owners.end(), [&](const auto& id) {
     return !view.members.at(id).suspect;
   });
--- a/packages/membership/src/reply_news.cc
+++ b/packages/membership/src/reply_news.cc
@@ -7,16 +7,17 @@
                                       Incarnation incarnation, bool draining) {
   const auto it = table.find(server);
   const bool known = it != table.end();
-  // That a server takes work is news only where it was known to drain: all
-  // servers do, and saying so of each would fill the table and the wire.
+  // That a server is not draining is only worth a report if it was known to
+  // drain. Otherwise every server would get an entry in the table and in
+  // messages.
   if (!known && !draining) return std::nullopt;
   ServerNews news;
   news.server = server;
   news.incarnation = incarnation;
   news.draining = draining;
   if (!known) return news;
-  // A reply can only add to what is known in the same round: an operator's word
-  // that the server takes work again stands until the next life.
+  // A reply only adds to the current round: an operator's revocation of a drain
+  // stays in force until the next incarnation.
   news.round = it->second.round;
   if (!Replaces(news, it->second)) return std::nullopt;
   return news;
--- a/packages/membership/tests/config_age_test.cc
+++ b/packages/membership/tests/config_age_test.cc
@@ -25,14 +25,14 @@
   uint64_t own_revision;
   uint64_t told_revision;
   std::optional<double> told_age;
-  // Own time of the confirmation afterwards; none if there is none.
+  // Expected local time of the confirmation; none if there is none.
   std::optional<double> confirmed;
 };
 std::ostream& operator<<(std::ostream& out, const AgeCase& it) {
   return out << it.name;
 }
 
-// All digests arrive at own time 1000.
+// All digests arrive at local time 1000.
 const AgeCase kAges[] = {
     {"the same configuration", 7, 7, 300.0, 700.0},
     {"a newer one here", 9, 7, 300.0, 700.0},
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-// An instance that does not watch the platform goes by what a watcher says. If
-// it took the age of a configuration that it does not have yet for its own, its
-// answers would claim to be fresher than they are.
+// Guards against taking the age of a configuration that this instance does not
+// have yet: an instance that does not watch the platform relies on the age that
+// a watcher reports, and its answers would claim to be fresher than they are.
 BOOST_DATA_TEST_CASE(the_age_of_another_configuration_is_not_taken,
                      data::make(kAges), it) {
   auto state = hpm::StartControl(Member("a", 1), {}, {});
--- a/packages/membership/tests/fleet.h
+++ b/packages/membership/tests/fleet.h
@@ -1,6 +1,6 @@
-// A fleet of control cores on virtual time: a network that delays, loses and
-// cuts, a platform with one counter of versions, and processes that pause, die
-// and start again. Everything follows from one seed.
+// Simulates a cluster of control cores on virtual time: a network with delays,
+// loss and partitions, a platform with one version counter, and processes that
+// pause, crash and restart. Deterministic for a given seed.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace hibiscuspick::membership::testing {
 
-// What one instance sent and got since the counters were cleared.
+// Messages and bytes of one instance since the counters were cleared.
 struct Traffic {
   uint64_t messages = 0;
   uint64_t bytes_sent = 0;
@@ -31,34 +31,34 @@
   bool paused = false;
   bool watching = false;
   ViewPointer view;
-  // What came in during a pause.
+  // Messages received during a pause.
   std::vector<std::pair<InstanceId, GossipMessage>> held;
-  // Highest versions seen in this life, to see that none goes down.
+  // Highest versions seen in this incarnation, to detect one that decreases.
   std::map<std::string, Revision> versions;
   Revision complete_to;
   bool went_back = false;
-  // Suspicions and deaths that it announced of nodes that were alive.
+  // Live nodes that this node wrongly reported as suspect or as gone.
   size_t false_suspicions = 0;
   size_t false_deaths = 0;
   size_t alarms = 0;
   Traffic traffic;
 };
 
-// Where messages pass: true to drop.
+// Whether to drop a message from the first node to the second.
 using CutRule = std::function<bool(const SimulatedNode&, const SimulatedNode&)>;
 
 class Fleet {
  public:
   explicit Fleet(uint64_t seed) : random_(seed) {}
 
-  // Tuning, before the first Add.
+  // Parameters, set before the first Add.
   ControlLimits limits;
   double loss = 0;
   CutRule cut;
-  // Bytes of a message; counted if set.
+  // Size of a message in bytes; sizes are counted if set.
   std::function<size_t(const GossipMessage&)> size_of;
   bool platform_up = true;
-  // Whether the platform's list shows instances; it does not lag.
+  // Whether the platform's list of instances is available; it does not lag.
   bool list_up = true;
 
   SimulatedNode& Add(const std::string& id, const std::string& data_centre) {
@@ -72,7 +72,8 @@
     return result;
   }
 
-  // `count` nodes in each of `data_centres` data centres, "d0-0" and on.
+  // Adds `count` nodes in each of `data_centres` data centres: "d0-0" and so
+  // on.
   void AddMany(size_t data_centres, size_t count) {
     for (size_t d = 0; d < data_centres; ++d) {
       for (size_t i = 0; i < count; ++i) {
@@ -96,7 +97,7 @@
     ++lives_[node->self.id];
   }
 
-  // A new life of a dead node, with nothing kept.
+  // Starts a new incarnation of a dead node, without any of its state.
   void Start(SimulatedNode* node) {
     const uint64_t life = ++lives_[node->self.id];
     node->self.incarnation = Incarnation(1000000 + life);
@@ -120,7 +121,7 @@
     }
   }
 
-  // An operator's accepted write at the platform, by way of one node.
+  // Writes an object to the platform, as an operator does by one node.
   Revision Write(SimulatedNode* node, const std::string& name,
                  const std::string& text) {
     const Revision version(++platform_revision_);
@@ -130,7 +131,7 @@
     return version;
   }
 
-  // A write that no node hears of but by the platform.
+  // Writes an object to the platform that no node learns of except by watching.
   Revision WriteAside(const std::string& name, const std::string& text) {
     const Revision version(++platform_revision_);
     platform_[name] = {name, version, text};
@@ -157,8 +158,8 @@
     now_ = end;
   }
 
-  // Runs until the condition holds, at most for `limit`; the time it took, or
-  // kNever.
+  // Runs until the condition holds, at most for `limit`. Returns the time it
+  // took, or kNever.
   Millis RunUntil(const std::function<bool()>& done, Millis limit,
                   Millis step = Millis(10)) {
     const Millis start = now_;
@@ -175,7 +176,8 @@
     });
   }
 
-  // Whether all alive see just each other, and nobody suspects anybody.
+  // Whether each live node's view has exactly the live nodes, none of them
+  // suspect.
   bool Converged() const {
     size_t alive = 0;
     for (const auto& [id, it] : nodes_) alive += it->alive ? 1 : 0;
@@ -189,7 +191,7 @@
     });
   }
 
-  // Whether all alive hold the same configuration, that of the platform.
+  // Whether all live nodes have the platform's configuration.
   bool ConfigAgrees() const {
     return All([&](const auto& node) {
       if (node.control.config.objects.size() != platform_.size()) return false;
@@ -218,7 +220,8 @@
     events_.push({now_ + delay, next_++, std::move(run)});
   }
 
-  // The settings file names the first two instances of each data centre.
+  // The seeds of a settings file: all instances of the node's own data centre
+  // and the first two of each other one.
   std::vector<Address> Seeds(const SimulatedNode& node) const {
     std::map<DataCentreId, size_t> counts;
     std::vector<Address> seeds;
--- a/packages/membership/tests/fleet_test.cc
+++ b/packages/membership/tests/fleet_test.cc
@@ -1,4 +1,5 @@
-// Whole fleets of control cores under loss, cuts, pauses and restarts.
+// Simulated clusters of control cores under message loss, partitions, pauses
+// and restarts.
 #include "fleet.h"
 
 #include <boost/test/data/test_case.hpp>
@@ -24,7 +25,8 @@
 constexpr Millis kMinute{60000};
 constexpr uint64_t kSeeds[] = {1, 2, 3};
 
-// Three data centres that all know each other and one configuration.
+// Starts three data centres and waits until all members know each other and
+// have the same configuration.
 void StartFleet(Fleet* fleet, size_t per_data_centre) {
   fleet->WriteAside("services/claims", "1");
   fleet->AddMany(3, per_data_centre);
@@ -54,9 +56,9 @@
   BOOST_TEST(watchers == 6U);
 }
 
-// Messages are lost, instances are paused, killed and started again while
-// operators write. Whatever an instance has in force must never go back, and
-// in the end all must have the same.
+// Messages are lost, and instances are paused, killed and restarted while
+// operators write. No instance's configuration may go back to a lower version,
+// and all must converge to the same one.
 BOOST_DATA_TEST_CASE(configuration_never_goes_back, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -84,9 +86,9 @@
   BOOST_TEST(fleet.NeverWentBack());
 }
 
-// A data centre is cut off for five minutes and changes are made on both
-// sides. Afterwards its instances must be trusted again, and every instance
-// must have the newest of every object.
+// A data centre is cut off for five minutes, and changes are made on both
+// sides. Afterwards its instances must no longer be suspect, and all instances
+// must have the newest version of every object.
 BOOST_DATA_TEST_CASE(a_cut_off_data_centre_comes_back, data::make(kSeeds),
                      seed) {
   Fleet fleet(seed);
@@ -105,8 +107,9 @@
   BOOST_TEST(fleet.NeverWentBack());
 }
 
-// A switch splits a data centre in two for so long that each half calls the
-// other gone. Neither would talk to the other again of its own accord.
+// A switch failure splits a data centre for so long that each half considers
+// the other gone. Without contacts to gone members the halves would never merge
+// again.
 BOOST_DATA_TEST_CASE(the_halves_of_a_split_data_centre_meet_again,
                      data::make(kSeeds), seed) {
   Fleet fleet(seed);
@@ -125,8 +128,8 @@
       (fleet.RunUntil([&] { return fleet.Converged(); }, kMinute) != kNever));
 }
 
-// One direction of an instance's link fails: it is heard by nobody, but hears
-// all others. After the repair it must be taken back.
+// One direction of an instance's link fails: it receives messages, but none of
+// its own arrive. After the repair it must become a member again.
 BOOST_DATA_TEST_CASE(a_one_way_cut_heals, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -139,9 +142,9 @@
       (fleet.RunUntil([&] { return fleet.Converged(); }, kMinute) != kNever));
 }
 
-// An instance sleeps for two minutes and is called gone; its connections are
-// reset meanwhile. When it wakes it must neither call the others gone, who to
-// it have been silent for as long, nor stay away.
+// An instance is paused for two minutes, considered gone, and its connections
+// are reset. When it resumes, it must not report the others as gone, which
+// appear silent to it, and must become a member again.
 BOOST_DATA_TEST_CASE(a_paused_instance_wakes, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -157,8 +160,8 @@
   BOOST_TEST(!sleeper.went_back);
 }
 
-// A backend server says that it is leaving while messages are lost. Everybody
-// must know within a few seconds, or it gets new work after it was promised
+// A backend server reports that it is draining while messages are lost. All
+// instances must know within seconds, or it gets requests after it was promised
 // none.
 BOOST_DATA_TEST_CASE(news_of_a_drain_is_everywhere_in_seconds,
                      data::make(kSeeds), seed) {
@@ -173,14 +176,16 @@
         [&](const auto& it) { return IsDraining(*it.view, server); });
   };
   BOOST_TEST((fleet.RunUntil(known, Millis(10000)) != kNever));
-  // What an instance says that has not heard yet changes nothing.
+  // A later report from an instance that does not know the drain yet changes
+  // nothing.
   fleet.Feed(&fleet.at("d1-0"), LocalNews{{server, Incarnation(1), 0, false}});
   fleet.RunFor(Millis(5000));
   BOOST_TEST(known());
 }
 
-// Digests alone would bring a change to everybody too, but it takes seconds,
-// and until then a leaving server gets new work. Push has to do most of it.
+// Guards against changes that are spread by digests alone, which takes seconds,
+// so that a draining server gets requests until then. Most instances must get a
+// change by push.
 BOOST_DATA_TEST_CASE(most_hear_of_a_change_by_push, data::make(kSeeds), seed) {
   constexpr Millis kPush{100};
   Fleet fleet(seed);
@@ -199,8 +204,8 @@
   BOOST_TEST(routes > 48);
 }
 
-// All instances are replaced one after another while the platform is down.
-// Each must take the configuration from those that have it.
+// All instances are replaced one after another while the platform is down. Each
+// must get the configuration from its peers.
 BOOST_DATA_TEST_CASE(replaced_one_by_one_the_fleet_keeps_its_configuration,
                      data::make(kSeeds), seed) {
   Fleet fleet(seed);
@@ -219,8 +224,8 @@
   BOOST_TEST((fleet.RunUntil(healed, kMinute) != kNever));
 }
 
-// All instances are replaced at once while the platform is down. Nobody knows
-// the configuration, and nobody may claim to.
+// All instances are replaced at once while the platform is down. No instance
+// has a configuration, and none may report itself ready.
 BOOST_AUTO_TEST_CASE(replaced_at_once_without_the_platform_nobody_is_ready) {
   Fleet fleet(1);
   StartFleet(&fleet, 10);
@@ -235,8 +240,8 @@
   BOOST_TEST((fleet.RunUntil(ready, kMinute) != kNever));
 }
 
-// The platform goes away and comes back. Most instances never ask it, and yet
-// each answer to a caller says whether it is there and how old its data is.
+// The platform fails and recovers. Most instances never call it, yet each must
+// know how old its configuration is, since its answers say so.
 BOOST_DATA_TEST_CASE(all_know_how_long_the_platform_is_silent,
                      data::make(kSeeds), seed) {
   Fleet fleet(seed);
@@ -259,8 +264,8 @@
   BOOST_TEST(all_within(Millis(0), Millis(8000)));
 }
 
-// The two instances that watch the platform die. Others have to take over, or
-// changes made elsewhere would never arrive.
+// The two instances that watch the platform are killed. Others must take over,
+// or changes made elsewhere would never arrive.
 BOOST_DATA_TEST_CASE(the_watch_is_taken_over, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
--- a/packages/membership/tests/membership_test.cc
+++ b/packages/membership/tests/membership_test.cc
@@ -182,8 +182,8 @@
                  .forgotten.size() == 1U);
 }
 
-// An instance is cut off from all of its data centre. Were it to call all the
-// others gone after the usual time, each of them would have to contradict it.
+// An instance is cut off from its whole data centre. If it reported all the
+// others as gone after the usual time, each of them would have to refute it.
 BOOST_AUTO_TEST_CASE(when_most_are_silent_nobody_is_given_up_soon) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
@@ -196,8 +196,8 @@
   BOOST_TEST(Sweep(&table, limits, Millis(60001)).gone.size() == 4U);
 }
 
-// A process is paused for a minute, by a snapshot of its machine perhaps. To
-// it all the others have been silent for a minute; none of them has.
+// A process is paused for a minute, for instance by a snapshot of its virtual
+// machine. All others appear silent to it, although none of them is.
 BOOST_AUTO_TEST_CASE(a_pause_of_ones_own_is_held_against_nobody) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
@@ -208,8 +208,8 @@
   BOOST_TEST(swept.suspected.empty());
 }
 
-// The link to another data centre is cut. Its members are asked last, but stay
-// known: nobody here can tell whether they live.
+// The link to another data centre fails. Its members become suspect but stay
+// members, since nobody in this data centre can tell whether they are running.
 BOOST_AUTO_TEST_CASE(a_silent_data_centre_is_suspect_but_not_gone) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
--- a/packages/membership/tests/placement_test.cc
+++ b/packages/membership/tests/placement_test.cc
@@ -102,7 +102,7 @@
     const bool was_its = owners.front() == InstanceId("a2");
     if (was_its) ++owned;
     BOOST_TEST((owners.front() != after.at(service).front()) == was_its);
-    // The second takes over, whom everybody asks anyway.
+    // The second candidate takes over, which all instances ask next anyway.
     if (was_its) BOOST_TEST((after.at(service).front() == owners.at(1)));
   }
   BOOST_TEST(owned > kServices / 6);
@@ -129,7 +129,8 @@
   }
 }
 
-// A data centre loses all of its instances while its backend servers go on.
+// A data centre loses all of its instances while its backend servers keep
+// running.
 BOOST_AUTO_TEST_CASE(without_instances_near_the_servers_any_will_do) {
   auto view = ThreeByThree();
   for (const char* id : {"a1", "a2", "a3"}) view.members.erase(InstanceId(id));
