--- a/packages/platform/include/hibiscuspick/platform/accept_write.h
+++ b/packages/platform/include/hibiscuspick/platform/accept_write.h
@@ -1,10 +1,11 @@
-// Whether a write is accepted. Pure, but for RunWrite.
+// Determines whether a write to the platform took effect. Pure functions,
+// except for RunWrite.
 //
-// A reply from the platform can be lost after the write took effect. Were the
-// write then called failed, an operator would see it come into force against
-// what he was told; were it called accepted, it might never be. So every
-// configuration object carries the ids of its last writes, and a write without
-// an answer is settled by reading them back.
+// A reply can be lost after the write took effect. If the write were then
+// reported as failed, it might come into force contrary to what the operator
+// was told; if it were reported as accepted, it might never do so. Every
+// configuration object therefore stores the ids of its last writes, and a write
+// without a reply is resolved by reading the object back.
 #pragma once
 
 #include <functional>
@@ -19,27 +20,28 @@
 
 namespace hibiscuspick::platform {
 
-// What a read of the object tells about a write.
+// What the object's present state says about a write.
 enum class WriteVerdict {
-  // It took effect, in the version given.
+  // It took effect, with the given version.
   kTaken,
-  // It did not and never will: the version it was conditional on is gone, and
-  // the object remembers every write since.
+  // It did not and never will take effect: the version that it was conditional
+  // on has been replaced, and the object lists every write since.
   kNotTaken,
-  // It did not so far; a request still on its way may yet take effect.
+  // It has not taken effect; a request still in the network may do so.
   kOpen,
-  // The object no longer remembers far enough back.
+  // The object does not list enough earlier writes to tell.
   kUnknown,
 };
 
 struct Judgement {
   WriteVerdict verdict = WriteVerdict::kUnknown;
-  // Of the write, if it was taken.
+  // The write's version, if it was applied.
   Revision version;
 };
 
-// Judges the write `write_id`, which was conditional on `expected` (nothing:
-// on the object not existing). `present` is nullptr if there is no object.
+// Checks the write `write_id`, which was conditional on version `expected`
+// (none: on the object not existing). `current` is nullptr if there is no
+// object.
 Judgement JudgeWrite(const StoredObject* present, const std::string& write_id,
                      std::optional<Revision> expected);
 
@@ -47,43 +49,44 @@
 
 enum class WriteOutcome {
   kAccepted,
-  // Another write came first; `present` is what is stored, if it could be read.
+  // Another write came first. `current` is the stored object, if it could be
+  // read.
   kConflict,
-  // The platform did not take it.
+  // The platform rejected it or could not be reached.
   kNotTaken,
-  // Not known; the caller may ask again by the write id.
+  // Unknown; the caller may look the write up again by its id.
   kUnknown,
 };
 
-// One write on its way. Do `step`, hand the result to AfterPut or AfterRead,
-// until kFinished.
+// The state of one write. The caller performs `step` and passes its result to
+// AfterPut or AfterRead, until kFinished.
 struct WriteState {
   std::string write_id;
   std::optional<Revision> expected;
-  // Steps that may still be repeated after a lost or missing answer.
+  // Remaining repeats of steps after a lost or missing reply.
   int repeats_left = 4;
 
   WriteStep step = WriteStep::kPut;
-  // A put without an answer: it may have taken effect or still do so.
+  // A put got no reply: it may have taken effect or still do so.
   bool reply_lost = false;
-  // Whether the step should wait a little first.
+  // Whether to wait before the step.
   bool pause = false;
 
   WriteOutcome outcome = WriteOutcome::kUnknown;
   Revision version;
   std::optional<StoredObject> present;
-  // It was read, and there is no object.
+  // The object was read and does not exist.
   bool absent = false;
 };
 
-// After a lost reply and an object that is unchanged, the same put is sent
-// again. That can't run twice: both are conditional on one version, which the
-// first to take effect ends.
+// If the reply is lost and the object is unchanged, the same put is sent again.
+// It cannot be applied twice: both puts are conditional on one version, which
+// the first to take effect replaces.
 void AfterPut(WriteState* state, const Result<Revision>& result);
 void AfterRead(WriteState* state, const Result<StoredObject>& result);
 
-// Carries one write of a kConfigKind object out on `calls`; `pause` is called
-// between repeated steps.
+// Performs one write of a kConfigKind object through `calls`. `pause` is called
+// before repeated steps.
 WriteState RunWrite(const Calls& calls, const std::string& name,
                     const Json& stored, WriteState state,
                     const std::function<void()>& pause);
--- a/packages/platform/include/hibiscuspick/platform/call_budget.h
+++ b/packages/platform/include/hibiscuspick/platform/call_budget.h
@@ -1,9 +1,9 @@
-// How often this instance may call the platform, and how long it rests after a
-// failure. Pure.
+// Limits this instance's call rate to the platform, and its backoff after
+// failures. Pure functions, except for LimitCalls.
 //
-// The platform's rates grow more slowly than the fleet. Without a bound of its
-// own each instance that finds it slow or newly back would add its retries, and
-// all together would keep it down.
+// The platform's capacity grows more slowly than the number of instances.
+// Without a limit, the retries of all instances would keep a slow or recovering
+// platform overloaded.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace hibiscuspick::platform {
 
-// A token bucket: `per_second` calls for ever, `burst` after a quiet time.
+// A token bucket: `per_second` calls on average, `burst` after an idle time.
 struct CallBudget {
   double per_second = 50;
   double burst = 100;
@@ -24,8 +24,8 @@
 
 CallBudget MakeCallBudget(double per_second, double burst, Millis now);
 
-// Takes one call, false if there is none left. A clock that stands still or
-// goes back adds nothing.
+// Takes a token; returns false if there is none. A clock that stands still or
+// goes back adds no tokens.
 bool TakeCall(CallBudget* budget, Millis now);
 
 struct BackoffLimits {
@@ -33,13 +33,13 @@
   Millis most{5000};
 };
 
-// The rest after `failures` failures in a row (1 or more): between nothing and
-// a bound that doubles, so that instances that failed together come back
-// apart.
+// Returns the backoff after `failures` (at least 1) failures in a row: random
+// between zero and a bound that doubles with each failure (full jitter), so
+// that instances that failed together do not retry together.
 Millis BackoffAfter(int failures, BackoffLimits limits, Random* random);
 
-// The same calls, refused with kPlatformUnavailable once the budget is used
-// up. Safe from any thread.
+// Wraps `calls` to return kPlatformUnavailable once the budget is exhausted.
+// Thread-safe.
 Calls LimitCalls(Calls calls, CallBudget budget,
                  std::function<Millis()> clock = SteadyNow);
 
--- a/packages/platform/include/hibiscuspick/platform/calls.h
+++ b/packages/platform/include/hibiscuspick/platform/calls.h
@@ -1,7 +1,6 @@
-// The platform's service as this project uses it: a handful of calls that may
-// block, fail, or take effect without an answer. Everything else in the
-// project sees only this struct, so that the real platform's shape is one
-// file's change and tests put a small fake in its place.
+// The platform's API as this project uses it: a few calls that may block, fail,
+// or take effect without a reply. All other code only uses this struct, so that
+// another platform needs changes in one file, and tests can use a fake.
 #pragma once
 
 #include <functional>
@@ -17,22 +16,21 @@
 
 namespace hibiscuspick::platform {
 
-// One object. Versions are drawn from one counter of the platform, so that of
-// two changes of any objects the later has the higher version.
+// One object. The platform draws all versions from one counter, so that of any
+// two changes the later one has the higher version.
 struct StoredObject {
   std::string name;
   Revision version;
   Json value;
 };
 
-// The objects of a kind that changed after a revision, and the revision up to
-// which this is all.
+// All objects of a kind that changed after a revision, up to `complete_to`.
 struct Changes {
   Revision complete_to;
   std::vector<StoredObject> objects;
 };
 
-// A line of the platform's list of instances, which lags.
+// An entry of the platform's list of instances, which lags.
 struct ListedInstance {
   InstanceId id;
   Address inner;
@@ -40,15 +38,15 @@
   bool leaving = false;
 };
 
-// Each function may be called from any thread and returns within its timeout.
-// Errors of all: kPlatformUnavailable (not taken, or a read without an answer).
+// Each function is thread-safe and returns within its timeout. Errors of all:
+// kPlatformUnavailable (a write was not applied, or a read got no reply).
 struct Calls {
   // Also kNotFound.
   std::function<Result<StoredObject>(const std::string& kind,
                                      const std::string& name)>
       get;
 
-  // All changes after the revision; 0 lists everything.
+  // All changes after the revision; 0 lists all objects.
   std::function<Result<Changes>(const std::string& kind, Revision after)> list;
 
   // As list, but waits up to `wait` for the first change.
@@ -56,10 +54,10 @@
                                 Millis wait)>
       watch;
 
-  // Writes if the object still has the version `expected`, or does not exist
-  // yet if there is none; gives the new version. Also kPlatformConflict (did
-  // not take effect) and kPlatformReplyLost (may have taken effect). Never
-  // sends twice.
+  // Writes if the object still has version `expected`, or does not exist if
+  // there is none. Returns the new version. Also kPlatformConflict (not
+  // applied) and kPlatformReplyLost (may have been applied). Never sends the
+  // request twice.
   std::function<Result<Revision>(const std::string& kind,
                                  const std::string& name, const Json& value,
                                  std::optional<Revision> expected)>
@@ -67,12 +65,12 @@
 
   std::function<Result<std::vector<ListedInstance>>()> instances;
 
-  // Ends all running calls of this object at once and refuses later ones, for
-  // a stop that must not wait for a watch. May be empty in fakes.
+  // Aborts all running calls of this object and rejects later ones, so that a
+  // shutdown need not wait for a watch. May be empty in fakes.
   std::function<void()> close;
 };
 
-// The kinds in use.
+// The kinds of objects in use.
 inline constexpr char kConfigKind[] = "config";
 inline constexpr char kRecordKind[] = "record";
 inline constexpr char kStatusKind[] = "status";
--- a/packages/platform/include/hibiscuspick/platform/http_calls.h
+++ b/packages/platform/include/hibiscuspick/platform/http_calls.h
@@ -1,5 +1,5 @@
-// The platform's object API over HTTP. The one file that knows its shape; for
-// another platform, write another src/http_calls.cc.
+// The platform's object API over HTTP. For another platform, write another
+// src/http_calls.cc; no other file depends on the protocol.
 #pragma once
 
 #include <cstddef>
@@ -12,17 +12,17 @@
 
 struct HttpCallLimits {
   Millis connect_timeout{500};
-  // For one call, a watch's waiting apart.
+  // For one call, not counting the time that a watch waits.
   Millis timeout{2000};
-  // Connections kept between calls.
+  // Idle connections kept for reuse.
   size_t max_idle_connections = 4;
-  // Bytes of one answer; a whole listing is the largest.
+  // Maximum bytes of a reply body; a full list is the largest.
   size_t max_body = 64 << 20;
 };
 
-// What is relied on: a connect that fails and the statuses 4xx and 503 mean
-// that a PUT was not taken. Anything else that isn't a whole 200 is
-// kPlatformReplyLost, since it may have been taken.
+// Assumes that after a failed connect or a status of 4xx or 503 the PUT was not
+// applied. Any other outcome except a complete 200 or 201 reply is reported as
+// kPlatformReplyLost, since the PUT may have been applied.
 Calls MakeHttpCalls(const Address& address, HttpCallLimits limits = {});
 
 }  // namespace hibiscuspick::platform
--- a/packages/platform/include/hibiscuspick/platform/watch.h
+++ b/packages/platform/include/hibiscuspick/platform/watch.h
@@ -1,4 +1,5 @@
-// When a watching instance asks the platform for what. Pure.
+// Decides when an instance calls the platform, and whether to list or watch.
+// Pure functions.
 #pragma once
 
 #include "hibiscuspick/base/ids.h"
@@ -11,9 +12,10 @@
 struct WatchOptions {
   // How long one watch waits for a change.
   Millis wait{10000};
-  // Between whole listings, give or take a quarter. They find what watching
-  // from a watermark can't: objects that a restored platform has older. A
-  // listing is the whole configuration, so it must stay rare.
+  // Interval between full lists, randomised by a quarter either way. They find
+  // what a watch from a watermark cannot: objects that a restored platform has
+  // in older versions. Each transfers the whole configuration, so they must be
+  // rare.
   Millis whole_interval{600000};
   BackoffLimits backoff;
 };
@@ -21,35 +23,36 @@
 enum class WatchAction { kRest, kListWhole, kWatch };
 
 struct WatchState {
-  // Whether this instance is one of those that watch.
+  // Whether this instance is one of its data centre's watchers.
   bool watching = false;
-  // Someone asked for a whole listing, watching or not: an instance that knows
-  // nothing and has no peer to ask.
+  // A full list was requested, also if this instance does not watch: it has no
+  // configuration and no peer to get it from.
   bool whole_wanted = false;
   Millis next_whole;
   Millis not_before;
   int failures = 0;
-  // Everything up to here was handed on: watches ask after it.
+  // All changes up to here were passed on; watches start after it.
   Revision seen;
-  // Whether the platform has answered yet. An instance that knows nothing
-  // lists first: a watch would only answer at the next change.
+  // Whether the platform has ever replied. An instance without configuration
+  // lists first, because a watch would only be answered at the next change.
   bool answered = false;
 };
 
-// Starts or stops watching. The first whole listing comes after a random part
-// of the interval, so that instances started together don't list together.
+// Starts or stops watching. The first full list is due after a random part of
+// the interval, so that instances started together do not list together.
 void SetWatching(WatchState* state, bool watching, const WatchOptions& options,
                  Millis now, Random* random);
 
 WatchAction NextAction(const WatchState& state, Millis now);
 
-// When NextAction may change by time alone, at the latest `now` + 1 s.
+// When to call NextAction again if nothing else happens: at the latest after 1
+// s.
 Millis NextLook(const WatchState& state, Millis now);
 
-// After an answer up to `complete_to` to a question asked when `known` was the
-// highest revision known of. One below `known` (a restored platform) rests like
-// a failure, since the platform would answer the next question at once, again
-// and again.
+// Records a reply up to `complete_to` to a call made when the highest known
+// revision was `known`. A `complete_to` below `known` means that the platform
+// was restored; it causes a backoff like a failure, because the platform would
+// answer each further watch at once.
 void AfterAnswer(WatchState* state, WatchAction asked, Revision known,
                  Revision complete_to, const WatchOptions& options, Millis now,
                  Random* random);
--- a/packages/platform/include/hibiscuspick/platform/watch_loop.h
+++ b/packages/platform/include/hibiscuspick/platform/watch_loop.h
@@ -1,5 +1,5 @@
-// The thread that watches the platform's configuration and hands what it says
-// to the control thread.
+// Runs the thread that watches the platform's configuration and passes the
+// results to the control thread.
 #pragma once
 
 #include <condition_variable>
@@ -16,30 +16,32 @@
 
 namespace hibiscuspick::platform {
 
-// One answer, also when nothing changed: it confirms that what is known is the
-// newest. For settings::ApplyFromPlatform.
+// One reply, also if nothing changed: it confirms the known configuration as
+// the newest. Input of settings::ApplyFromPlatform.
 struct WatchNews {
   settings::ConfigDelta delta;
-  // The highest revision known of when the platform was asked.
+  // The highest known revision when the call was made.
   Revision known;
 };
 
-// The platform's changes as the store takes them.
+// Converts the platform's changes to a delta of the configuration store.
 settings::ConfigDelta ToDelta(Revision after, const Changes& changes);
 
 class WatchLoop {
  public:
-  // An answer, or why there is none (the platform is unreachable).
+  // Receives a reply, or the error if the platform is unreachable.
   using Sink = std::function<void(const Result<WatchNews>&)>;
-  // A revision of the ConfigStore now. Called by the loop's thread under its
-  // lock: must not call back.
+  // Returns a current revision of the ConfigStore. Called on the loop's thread
+  // with its lock held: must not call back into the loop.
   using Known = std::function<Revision()>;
 
-  // `calls` should be the loop's own: Stop closes them. `sink` is called by
-  // the loop's thread and must not block long. `complete_to` gives the store's
-  // watermark, after which is asked, and `newest` its highest revision, by
-  // which a restored platform is told; without it the watermark stands in, and
-  // a restore below single accepted writes goes unseen. Starts resting.
+  // `calls` should be used by this loop only, because Stop closes them. `sink`
+  // is called on the loop's thread and must not block for long. `complete_to`
+  // returns the store's watermark, from which the loop watches, and `newest`
+  // the store's highest revision, by which a restored platform is detected.
+  // Without `newest` the watermark is used, and a restore to a revision between
+  // the watermark and a newer single write goes undetected. Starts without
+  // watching.
   WatchLoop(Calls calls, WatchOptions options, uint64_t seed, Known complete_to,
             Sink sink, const Known& newest = nullptr);
   ~WatchLoop();
@@ -48,15 +50,15 @@
 
   void SetWatching(bool watching);
 
-  // Asks for one whole listing as soon as the platform answers.
+  // Requests one full list as soon as the platform replies.
   void WantWhole();
 
-  // Ends a running watch and the thread.
+  // Aborts a running watch and joins the thread.
   void Stop();
 
  private:
   void Run();
-  // What is known when the platform is asked.
+  // The action and the known revisions when the platform is called.
   struct Question {
     WatchAction action = WatchAction::kRest;
     Revision complete_to;
--- a/packages/platform/src/accept_write.cc
+++ b/packages/platform/src/accept_write.cc
@@ -10,7 +10,7 @@
 
 using settings::WriteMark;
 
-// Whether the marks hold every write after `since`.
+// Whether the marks include every write after `since`.
 bool RemembersSince(const std::vector<WriteMark>& marks, Revision since) {
   if (marks.size() < settings::kKeptWriteIds) return true;
   return std::any_of(marks.begin(), marks.end(), [&](const WriteMark& it) {
@@ -18,8 +18,9 @@
   });
 }
 
-// The object's marks with the last one's version filled in, which only the
-// reader knows; nothing if it is no envelope.
+// Returns the object's write marks, with the last one's version filled in from
+// the object, since an envelope cannot contain its own version. None if the
+// value is not an envelope.
 std::optional<std::vector<WriteMark>> MarksOf(const StoredObject& object) {
   const auto envelope = settings::ReadEnvelope(object.value);
   if (!IsOk(envelope)) return std::nullopt;
@@ -33,7 +34,7 @@
   state->outcome = outcome;
 }
 
-// Goes on with `step` if a repeat is left.
+// Continues with `step` if a repeat is left.
 void Repeat(WriteState* state, WriteStep step) {
   if (state->repeats_left == 0) {
     Finish(state, WriteOutcome::kUnknown);
@@ -78,7 +79,7 @@
       state->reply_lost = true;
       return Repeat(state, WriteStep::kRead);
     default:
-      // This put was not taken; an earlier one without an answer may be.
+      // This put was not applied, but an earlier one without a reply may be.
       if (!state->reply_lost) return Finish(state, WriteOutcome::kNotTaken);
       return Repeat(state, WriteStep::kRead);
   }
@@ -88,7 +89,7 @@
   state->pause = false;
   const bool found = IsOk(result);
   if (!found && ErrorOf(result).code != Code::kNotFound) {
-    // A put that was answered with a conflict stays one without the value.
+    // A put rejected with a conflict remains one if the object cannot be read.
     if (!state->reply_lost) return Finish(state, WriteOutcome::kConflict);
     return Repeat(state, WriteStep::kRead);
   }
@@ -100,7 +101,7 @@
   if (judged.verdict == WriteVerdict::kTaken) {
     return Accept(state, judged.version);
   }
-  // Every put was answered: the conflict is certain, whatever the marks say.
+  // All puts got replies, so the conflict is certain regardless of the marks.
   if (!state->reply_lost) return Finish(state, WriteOutcome::kConflict);
   switch (judged.verdict) {
     case WriteVerdict::kTaken:
--- a/packages/platform/src/call_budget.cc
+++ b/packages/platform/src/call_budget.cc
@@ -10,7 +10,7 @@
 namespace hibiscuspick::platform {
 namespace {
 
-// The budget of one Calls object and what guards it.
+// The budget of one Calls object with its mutex and clock.
 struct Gate {
   std::mutex mutex;
   CallBudget budget;
@@ -22,7 +22,7 @@
   }
 };
 
-// Wraps one call so that it is made only if the gate lets it.
+// Wraps a call so that it takes a token first.
 template <class R, class... Args>
 std::function<Result<R>(Args...)> Guard(
     const std::shared_ptr<Gate>& gate, std::function<Result<R>(Args...)> call) {
@@ -53,7 +53,7 @@
 }
 
 Millis BackoffAfter(int failures, BackoffLimits limits, Random* random) {
-  // Beyond this the bound is reached and the power would only overflow.
+  // The bound is reached earlier; a larger exponent could only overflow.
   constexpr int kMostDoublings = 30;
   const int doublings = std::clamp(failures - 1, 0, kMostDoublings);
   const Millis bound = Min(limits.most, limits.least * std::exp2(doublings));
--- a/packages/platform/src/http_calls.cc
+++ b/packages/platform/src/http_calls.cc
@@ -21,7 +21,7 @@
 using http::MakeRequest;
 using http::Reply;
 
-// Connections to the platform, one per running call, kept between calls.
+// Connection pool to the platform; each running call uses one connection.
 class Pool {
  public:
   Pool(Address address, HttpCallLimits limits)
@@ -32,7 +32,7 @@
   Result<Reply> Send(httplib::Request request, Millis timeout) {
     auto connection = Take();
     if (!connection) {
-      return Error{Code::kConnectFailed, "", "the calls were closed"};
+      return Error{Code::kConnectFailed, "", "the connection pool is closed"};
     }
     auto result = connection->Send(std::move(request), timeout);
     GiveBack(std::move(connection), IsOk(result));
@@ -62,8 +62,8 @@
     return connection;
   }
 
-  // A connection that failed is thrown away, with the answer that may still
-  // come on it.
+  // Closes a connection that failed, since a late reply could still arrive on
+  // it.
   void GiveBack(std::unique_ptr<Connection> connection, bool good) {
     const std::lock_guard lock(mutex_);
     running_.erase(connection.get());
@@ -85,10 +85,11 @@
 }
 
 Error UnexpectedStatus(const Reply& reply) {
-  return Unavailable("the platform answered " + std::to_string(reply.status));
+  return Unavailable("the platform answered with status " +
+                     std::to_string(reply.status));
 }
 
-// The body of a read's 200 answer.
+// Returns the JSON body of a read's reply with status 200.
 Result<Json> ReadBody(const Result<Reply>& result) {
   if (!IsOk(result)) {
     const Error& error = ErrorOf(result);
@@ -105,7 +106,7 @@
   return body;
 }
 
-// A field that must be a number of a version.
+// Returns the revision in a field, or none if it is not an unsigned integer.
 std::optional<Revision> ReadRevision(const Json& body, const char* key) {
   if (!body.is_object()) return std::nullopt;
   const auto it = body.find(key);
@@ -128,8 +129,8 @@
   return StoredObject{std::move(name), *version, std::move(body["value"])};
 }
 
-// A listing is taken whole or not at all: a part that was passed over would
-// count as known afterwards.
+// One malformed object makes the whole list fail: if it were skipped, its
+// change would count as known.
 Result<Changes> ReadChanges(const Result<Json>& result) {
   if (!IsOk(result)) return ErrorOf(result);
   const Json& body = ValueOf(result);
@@ -173,13 +174,13 @@
       out.push_back(std::move(*instance));
     } else {
       Log(Part::kPlatform)
-          .warn("A listed instance can't be read; passed over.");
+          .warn("skipped an entry of the instance list: cannot be decoded");
     }
   }
   return out;
 }
 
-// Whether a status other than 200 tells for sure that a PUT was not taken.
+// Whether a status other than 200 guarantees that a PUT was not applied.
 bool IsRefusal(int status) {
   return (status >= 400 && status < 500) || status == kStatusUnavailable;
 }
@@ -187,7 +188,7 @@
 Result<Revision> ReadPutReply(const Result<Reply>& result) {
   const Error lost{Code::kPlatformReplyLost, "", "the reply was lost"};
   if (!IsOk(result)) {
-    // Only a failed connect is known to be before the first byte.
+    // Only after a failed connect is it certain that nothing was sent.
     if (ErrorOf(result).code == Code::kConnectFailed) {
       return Unavailable(ErrorOf(result).message);
     }
--- a/packages/platform/src/watch.cc
+++ b/packages/platform/src/watch.cc
@@ -7,7 +7,7 @@
 
 constexpr Millis kLongestRest{1000};
 
-// Between three and five quarters of the interval.
+// Returns a random time between 0.75 and 1.25 intervals.
 Millis AboutOne(Millis interval, Random* random) {
   constexpr double kLeast = 0.75;
   constexpr double kSpan = 0.5;
@@ -40,8 +40,8 @@
 void AfterAnswer(WatchState* state, WatchAction asked, Revision known,
                  Revision complete_to, const WatchOptions& options, Millis now,
                  Random* random) {
-  // Not up to `known`: between the watermark and a single newer object there
-  // may be others that were never seen.
+  // `seen` is not raised to `known`: there may be unseen objects between the
+  // watermark and a newer single object.
   if (complete_to >= known) state->seen = std::max(state->seen, complete_to);
   state->answered = true;
   if (asked == WatchAction::kListWhole) {
--- a/packages/platform/src/watch_loop.cc
+++ b/packages/platform/src/watch_loop.cc
@@ -52,7 +52,7 @@
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     const Millis now = SteadyNow();
-    // The control thread may not have applied the last answer yet.
+    // `seen` may be ahead while the control thread applies the last reply.
     state_.seen = std::max(state_.seen, complete_to_());
     const WatchAction action = NextAction(state_, now);
     if (action == WatchAction::kRest) {
--- a/packages/platform/tests/accept_write_test.cc
+++ b/packages/platform/tests/accept_write_test.cc
@@ -41,7 +41,7 @@
                              write_id, false));
 }
 
-// Another operator's write, which takes effect at once.
+// Writes as another operator would; takes effect at once.
 void WriteOther(FakePlatform* platform, const std::string& write_id) {
   const auto result =
       platform->Store(kName, NextOf(*platform, write_id), VersionOf(*platform));
@@ -67,8 +67,7 @@
 
 struct Case {
   std::string name;
-  // Writes there before ours, and those that come between our put's effect and
-  // the first read.
+  // Number of other writes before ours, and between our put and the first read.
   int writes_before;
   int writes_after;
   std::deque<hpp::PutFault> faults;
@@ -164,9 +163,9 @@
 }  // namespace
 
 // A write's request or reply is lost, the platform fails, or other operators
-// write over it before it can be read back. The operator must be told accepted
-// only if the write took effect, not accepted only if it never will, and
-// otherwise that it isn't known.
+// write before the object is read back. The write may be reported as accepted
+// only if it took effect, as not accepted only if it never will, and otherwise
+// as unknown.
 BOOST_DATA_TEST_CASE(a_write_is_answered_truly, data::make(kCases), it) {
   FakePlatform platform;
   for (int i = 0; i < it.writes_before; ++i) {
@@ -187,8 +186,8 @@
   if (state.outcome == kConflict) BOOST_TEST(!HasOurs(platform));
 }
 
-// Two operators write at the same moment. Exactly one is told accepted, and the
-// other gets the winner's value.
+// Two operators write simultaneously. Exactly one write is accepted, and the
+// other operator gets the winner's value.
 BOOST_AUTO_TEST_CASE(of_two_racing_writes_one_is_accepted) {
   FakePlatform platform;
   WriteOther(&platform, "before");
@@ -200,9 +199,9 @@
   BOOST_TEST(!HasOurs(platform));
 }
 
-// A put hangs in the network and takes effect long after its sender gave up on
-// it. Had the sender said "not accepted" when it saw the object unchanged, the
-// write would come into force against its word.
+// A put is delayed in the network and takes effect long after its sender gave
+// up. If the sender reported "not accepted" because the object was unchanged,
+// the write would come into force afterwards.
 BOOST_AUTO_TEST_CASE(a_put_that_arrives_late_is_never_called_not_accepted) {
   FakePlatform platform;
   WriteOther(&platform, "before");
@@ -216,8 +215,8 @@
   BOOST_TEST((judged.verdict == hpp::WriteVerdict::kTaken));
 }
 
-// The same, but the put could be sent again: whichever of the two comes first
-// ends the version that the other is conditional on.
+// As above, but the put is sent again: the first of the two to take effect
+// replaces the version that the other is conditional on.
 BOOST_AUTO_TEST_CASE(a_put_sent_again_takes_effect_once) {
   FakePlatform platform;
   WriteOther(&platform, "before");
--- a/packages/platform/tests/call_budget_test.cc
+++ b/packages/platform/tests/call_budget_test.cc
@@ -8,7 +8,8 @@
 namespace hpp = hibiscuspick::platform;
 using hp::Millis;
 
-// An instance in a retry loop would take the platform's rate from all others.
+// Guards against an instance that retries in a loop and uses up the platform's
+// capacity.
 BOOST_AUTO_TEST_CASE(the_budget_bounds_calls_over_time) {
   auto budget = hpp::MakeCallBudget(10, 5, Millis(0));
   int taken = 0;
@@ -34,8 +35,8 @@
   BOOST_TEST(platform.puts == 2);
 }
 
-// All instances lose the platform at one moment. Were their rests equal they
-// would all come back at one moment too.
+// Guards against equal backoffs: all instances lose the platform at the same
+// moment and would also retry at the same moment.
 BOOST_AUTO_TEST_CASE(rests_grow_to_a_bound_and_differ) {
   hp::Random random(7);
   const hpp::BackoffLimits limits{Millis(100), Millis(1000)};
--- a/packages/platform/tests/fake_platform.h
+++ b/packages/platform/tests/fake_platform.h
@@ -1,5 +1,5 @@
-// A platform in memory for tests: conditional writes on one counter, and
-// faults that a test orders call by call.
+// An in-memory platform for tests, with conditional writes, one version
+// counter, and faults that a test sets for each call.
 #pragma once
 
 #include <algorithm>
@@ -14,28 +14,28 @@
 
 namespace hibiscuspick::platform {
 
-// What happens to one put.
+// The fault of one put.
 enum class PutFault {
   kNone,
-  // Not taken, and said so.
+  // Rejected with an error; not applied.
   kDown,
-  // Took effect, the reply is lost.
+  // Applied, but the reply is lost.
   kReplyLost,
-  // Lost on the way there.
+  // The request is lost; not applied.
   kRequestLost,
-  // No reply, and it takes effect only when DeliverLate is called.
+  // No reply; applied only when DeliverLate is called.
   kDelayed,
 };
 
-// Safe from any thread.
+// Calls are thread-safe.
 class FakePlatform {
  public:
   // Faults of the next puts, in order; kNone afterwards.
   std::deque<PutFault> put_faults;
-  // Reads that fail before one succeeds; -1: all.
+  // Number of reads that fail before one succeeds; -1: all fail.
   int failing_reads = 0;
-  // Called before each put takes effect or not, such as to let another
-  // operator write first.
+  // Called before a put is processed, for instance to let another operator
+  // write first.
   std::function<void()> before_put;
   int puts = 0;
   int gets = 0;
@@ -60,14 +60,14 @@
     return calls;
   }
 
-  // A write that takes effect at once, as another operator's.
+  // Writes at once, as another operator would.
   Result<Revision> Store(const std::string& name, const Json& value,
                          std::optional<Revision> expected) {
     const std::lock_guard lock(mutex_);
     return StoreLocked(name, value, expected);
   }
 
-  // Lets a delayed put take effect, if it still can.
+  // Applies a delayed put if its condition still holds.
   void DeliverLate() {
     const std::lock_guard lock(mutex_);
     if (late_) late_();
--- a/packages/platform/tests/http_calls_test.cc
+++ b/packages/platform/tests/http_calls_test.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Answers every request with one status and body and remembers the last.
+// Answers every request with one status and body, and records the last request.
 struct OneAnswer {
   int status = 200;
   std::string body;
@@ -99,8 +99,8 @@
 
 }  // namespace
 
-// Only an answer that tells for sure may be read as "taken" or "not taken":
-// everything else has to be settled by reading back.
+// Only an unambiguous reply may be interpreted as applied or not applied; all
+// others must be resolved by reading the object back.
 BOOST_DATA_TEST_CASE(put_replies_are_read_on_the_safe_side, data::make(kPuts),
                      it) {
   OneAnswer platform(it.status, it.body);
@@ -148,8 +148,8 @@
   BOOST_TEST(ValueOf(result)[0].leaving);
 }
 
-// Nobody listens at the platform's address: nothing was sent, so the write
-// surely has not been taken.
+// Nothing listens at the platform's address. Nothing was sent, so the write was
+// certainly not applied.
 BOOST_AUTO_TEST_CASE(a_failed_connect_is_not_taken) {
   uint16_t port = 0;
   {
@@ -161,8 +161,8 @@
               Code::kPlatformUnavailable));
 }
 
-// The platform takes a write and closes the connection before it answers. Sent
-// again by the client itself it could take effect twice.
+// The platform applies a write and closes the connection before it replies. If
+// the client sent the request again by itself, it could be applied twice.
 BOOST_AUTO_TEST_CASE(a_put_is_never_sent_twice) {
   hp::http::Server server({});
   std::atomic<int> requests{0};
@@ -179,7 +179,8 @@
   BOOST_TEST(requests == 1);
 }
 
-// An instance stops while its watch waits. It must not wait out the watch.
+// An instance shuts down during a watch and must not wait for the end of the
+// watch.
 BOOST_AUTO_TEST_CASE(closing_ends_a_waiting_watch) {
   hp::http::Server server({});
   std::atomic<bool> entered{false};
--- a/packages/platform/tests/standin_calls_test.cc
+++ b/packages/platform/tests/standin_calls_test.cc
@@ -1,5 +1,5 @@
-// The adapter against the platform's stand-in, so that both sides mean the
-// same by each call.
+// Tests the HTTP client against the platform's stand-in, so that both agree on
+// the meaning of each call.
 #include <boost/test/unit_test.hpp>
 #include <optional>
 #include <string>
@@ -70,8 +70,8 @@
   BOOST_TEST(bench.platform.counts().conflicts == 1);
 }
 
-// The platform takes the write and drops the connection. The write must still
-// be called accepted, in the version it got.
+// The platform applies the write and drops the connection. The write must still
+// be reported as accepted, with its version.
 BOOST_AUTO_TEST_CASE(a_lost_reply_is_settled_over_the_network) {
   Bench bench;
   hp::standins::PlatformFaults faults;
@@ -83,8 +83,8 @@
   BOOST_TEST(bench.platform.counts().lost_replies == 1);
 }
 
-// In an outage that answers, the write was not taken; in a silent one nobody
-// can tell before it ends.
+// If the platform rejects calls, the write was not applied; if it does not
+// answer, the outcome is unknown until it does.
 BOOST_AUTO_TEST_CASE(outages_are_told_apart) {
   Bench bench;
   hp::standins::PlatformFaults faults;
--- a/packages/platform/tests/watch_test.cc
+++ b/packages/platform/tests/watch_test.cc
@@ -39,8 +39,8 @@
 }
 
 // A platform restored from a backup answers each watch at once, since its
-// revision is below the one asked after. Without a rest the watching instances
-// would ask in a tight loop.
+// revision is below the requested one. Without a backoff the watching instances
+// would call it in a tight loop.
 BOOST_AUTO_TEST_CASE(an_answer_from_the_past_is_rested_on) {
   hp::Random random(1);
   hpp::WatchState state;
@@ -57,8 +57,8 @@
   BOOST_TEST((NextAction(state, Millis(10000)) == WatchAction::kWatch));
 }
 
-// The platform fails for a while under a watching instance. The loop must go on
-// by itself, tell that it failed, and miss nothing that was written meanwhile.
+// The platform fails for a while during a watch. The loop must continue by
+// itself, report the failures, and miss no change written in between.
 BOOST_AUTO_TEST_CASE(the_loop_outlives_an_outage_and_misses_nothing) {
   hpp::FakePlatform platform;
   platform.Store("routes/a", 1, std::nullopt);
