--- a/packages/settings/include/hibiscuspick/settings/configuration.h
+++ b/packages/settings/include/hibiscuspick/settings/configuration.h
@@ -1,6 +1,6 @@
-// The view of the configuration that traffic threads read: immutable, built
-// anew by the control thread after each change and published as a
-// std::shared_ptr<const Configuration>. A query keeps the one it started with.
+// The immutable view of the configuration that traffic threads read. The
+// control thread rebuilds it after each change and publishes it as a
+// std::shared_ptr<const Configuration>. A query keeps the view it started with.
 #pragma once
 
 #include <cstdint>
@@ -20,48 +20,49 @@
 
 namespace hibiscuspick::settings {
 
-// The manifests of one snapshot name, newest first, each of another index
-// version: the present one and those that backend servers may still hold.
+// The manifests of one snapshot name, newest first, each with another index
+// version: the current one and earlier ones that backend servers may still
+// hold.
 using Manifests = std::vector<std::shared_ptr<const Snapshot>>;
 
 struct Configuration {
-  // Every change up to here is in it.
+  // The view contains every change up to this revision.
   Revision complete_to;
   // ConfigStore::newest.
   Revision newest;
-  // ConfigStore::known: without it, nothing can be said of what is stored.
+  // ConfigStore::loaded: while false, the absence of an object means nothing.
   bool known = false;
   std::unordered_map<ServiceId, Service> services;
   std::unordered_map<RouteId, Route> routes;
   std::unordered_map<SnapshotName, Manifests> snapshots;
   SettingsTree settings;
-  // Backend servers that operators have ordered to get no new work.
+  // Backend servers that operators have drained: they get no new work.
   std::set<BackendServerId> drains;
-  // The objects it was built from, deleted ones included, for the operators'
-  // API and status.
+  // The objects that the view was built from, including deleted ones, for the
+  // operators' API and status.
   std::map<std::string, ConfigObject> objects;
-  // Objects whose value can't be read, with the reasons.
+  // Objects whose value can't be parsed, with the reasons.
   std::map<std::string, std::vector<Fault>> unreadable;
-  // What doesn't fit together or could not be read: `place` is the object's
-  // name and JSON path. Traffic goes on; a shard that no known server holds
-  // counts as missing.
+  // Objects that are inconsistent with others or can't be parsed; `place` is
+  // the object's name and JSON path. Traffic continues; a shard without a known
+  // server counts as missing.
   std::vector<Fault> warnings;
 };
 
-// Builds the view, reading only what changed since `last`, which must have
-// been built from the same store. Most calls follow a raised watermark and
-// find nothing changed; reading everything each time would take a daemon's
-// whole share of processor time for control. An object that can't be read (a
-// newer release may write what this one doesn't know) keeps the value it has
-// in `last`, if there is one, and is named in the warnings.
+// Builds the view, parsing only what changed since `previous`, which must have
+// been built from the same store. Most calls follow a raised watermark and find
+// nothing changed; parsing every object each time would use up all the
+// processor time that a daemon has for control work. An object that can't be
+// parsed (a newer release may write a format unknown to this one) keeps its
+// value from `previous`, if there is one, and is listed in the warnings.
 std::shared_ptr<const Configuration> BuildConfiguration(
     const ConfigStore& store, const Configuration* last = nullptr);
 
-// The newest manifest, or nullptr.
+// The newest manifest, or nullptr if there is none.
 std::shared_ptr<const Snapshot> NewestManifest(const Configuration& it,
                                                const SnapshotName& name);
 
-// The manifest with this index version, or nullptr.
+// The manifest with this index version, or nullptr if there is none.
 std::shared_ptr<const Snapshot> FindManifest(const Configuration& it,
                                              const SnapshotName& name,
                                              IndexVersion version);
--- a/packages/settings/include/hibiscuspick/settings/cross_check.h
+++ b/packages/settings/include/hibiscuspick/settings/cross_check.h
@@ -1,9 +1,10 @@
-// Checks of an object against the others. What would make an answer untrue is
-// a fault and refused at the write; what only makes it smaller (a route whose
-// snapshot isn't there yet, a server taken from a service while a manifest
-// still names it) is a warning, so that operators can write objects in any
-// order. Two writes at two instances can pass these checks side by side; what
-// is then in force is warned of and read on the safe side.
+// Consistency checks of an object against the others. What would make an answer
+// wrong is a fault, and the write is rejected. What only makes an answer
+// smaller (a route whose snapshot doesn't exist yet, a server removed from a
+// service while a manifest still names it) is a warning, so that operators can
+// write objects in any order. Concurrent writes at two instances can both pass
+// these checks; a resulting inconsistency is reported as a warning, and the
+// affected objects are interpreted conservatively.
 #pragma once
 
 #include <string>
@@ -19,23 +20,23 @@
 struct Configuration;
 
 struct CheckedWrite {
-  // Refuse the write if there are any.
+  // If there are any, the write is rejected.
   std::vector<Fault> faults;
-  // Tell the operator and go on.
+  // Reported to the operator; the write proceeds.
   std::vector<Fault> warnings;
 };
 
-// Checks a value that is to replace `present` (nothing for a new object).
+// Checks a value that is to replace `current` (nullptr for a new object).
 CheckedWrite CheckWrite(const Configuration& configuration,
                         const ObjectName& name, const Json& value,
                         const Envelope* present);
 
-// What a deletion would leave without a partner.
+// Inconsistencies that deleting the object would introduce.
 std::vector<Fault> WarningsOfDeletion(const Configuration& configuration,
                                       const ObjectName& name);
 
-// Everything in the configuration that doesn't fit together; `place` is the
-// object's name.
+// All inconsistencies between objects of the configuration; `place` starts
+// with the object's name.
 std::vector<Fault> FindMismatches(const Configuration& configuration);
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/include/hibiscuspick/settings/daemon_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/daemon_settings.h
@@ -1,5 +1,5 @@
-// The daemon's own settings file: JSON with comments, read once at start. All
-// that tunes traffic lives in the settings tree instead, where it can change
+// The daemon's own settings file: JSON with comments, read once at start.
+// Traffic settings are in the settings tree instead, where they can change
 // while the daemon runs.
 #pragma once
 
@@ -27,8 +27,8 @@
   Address operators;
   Address inner;
   Address platform;
-  // Inner addresses of instances that are likely to be there, asked when the
-  // platform can't say who is.
+  // Inner addresses of other instances, contacted at start when the platform
+  // can't list the members.
   std::vector<Address> peers;
 
   // Never empty.
@@ -38,39 +38,39 @@
   std::string log_level = "info";
   LogFormat log_format = LogFormat::kText;
 
-  // How long the platform's balancer may go on sending new connections here
-  // after a stop was announced.
+  // How long the platform's load balancer may keep sending new connections
+  // after this instance has announced its stop.
   Millis balancer_lag{5000};
-  // The longest a planned stop waits for requests in flight.
+  // The longest that a graceful stop waits for requests in flight.
   Millis stop_timeout{30000};
 
-  // Attempts in flight at once, each on a thread.
+  // Concurrent attempts; each occupies a thread.
   int max_attempts = 512;
-  // Connections of callers served at once.
+  // Concurrent connections from callers.
   int max_caller_connections = 1024;
-  // Connections of operators served at once.
+  // Concurrent connections from operators.
   int max_operator_connections = 32;
   // The largest body of an operator's request, in bytes.
   size_t max_operator_body = 1 << 20;
 
-  // Platform calls per second that this instance allows itself, and how many
-  // it may make at once after a quiet time.
+  // Rate limit for this instance's platform calls, and the burst it may send
+  // after an idle period.
   int platform_calls_per_second = 50;
   int platform_call_burst = 100;
   Millis platform_timeout{2000};
-  // How long one watch waits.
+  // The timeout of one long-polling watch request.
   Millis platform_watch{10000};
 };
 
-// Looks a name up in the environment; nullopt if it isn't set.
+// Looks up an environment variable; nullopt if it isn't set.
 using EnvironmentLookup =
     std::function<std::optional<std::string>(const std::string& name)>;
 
-// Reads and checks the file's text. Every fault is given at once. A token or
-// key may be written in the file ("operator_token", "inner_key") or be named
-// as an environment variable ("operator_token_env", "inner_key_env"); without
-// one the file is refused, since an open operators' port would let anyone
-// change the configuration.
+// Parses and validates the file's text and returns all faults at once. The
+// token and the key are written in the file ("operator_token", "inner_key") or
+// read from an environment variable that the file names ("operator_token_env",
+// "inner_key_env"). A file without them is rejected, since an unprotected
+// operators' port would let anyone change the configuration.
 Checked<DaemonSettings> ReadDaemonSettings(
     std::string_view text, const EnvironmentLookup& environment);
 
--- a/packages/settings/include/hibiscuspick/settings/edge_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/edge_settings.h
@@ -1,6 +1,6 @@
-// The settings file of an instance that serves callers directly from a list of
-// backend servers in an object store: JSON with comments, read at start and
-// again when it changes.
+// The settings file of an edge instance, which serves callers directly and
+// reads its list of backend servers from an object store: JSON with comments,
+// read at start and again when it changes.
 #pragma once
 
 #include <map>
@@ -22,42 +22,42 @@
   Address callers;
   Address readiness;
   Address store;
-  // Where peers ask for news, and where they hand queries to.
+  // Where peers fetch server state, and where they forward queries to.
   Address news;
   Address queries;
-  // The share of a core that the process may use.
+  // CPU share of the process, in cores.
   double processor = 1;
 
-  // What all instances together may add to a service's requests, in hedges and
-  // retries, within any window.
+  // The fleet's limit on hedges and retries, as a share of a service's first
+  // attempts within any window.
   double extra_ratio = 0.2;
   Millis extra_window{10000};
   double extra_slack = 0;
-  // Instances that share that slack and the servers' connections, until the
-  // store has said how many there are.
+  // The number of instances that divide this slack and the servers'
+  // connections among themselves, until the store has reported it.
   int instances = 8;
 
-  // What a cold server gets beyond its service's bound.
+  // What a cold server may get beyond its service's limit.
   double cold_overage = 1;
   double cold_slack = 0;
 
-  // The region of each data centre, for routes that are kept to some regions.
+  // The region of each data centre, for routes restricted to some regions.
   std::map<DataCentreId, std::string> regions;
 
-  // From the stop signal until the process is ended by force.
+  // The time from the stop signal until the process is killed.
   Millis grace{6000};
 
-  // For experiments.
+  // Switches for experiments.
   Mechanisms mechanisms;
 
   std::string log_level = "info";
   LogFormat log_format = LogFormat::kJson;
 };
 
-// Whether the text is such a file: it has the section "edge".
+// Whether the text is an edge settings file: it has the section "edge".
 bool IsEdgeSettings(std::string_view text);
 
-// Reads and checks the file's text. Every fault is given at once.
+// Parses and validates the file's text and returns all faults at once.
 Checked<EdgeSettings> ReadEdgeSettings(std::string_view text);
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/include/hibiscuspick/settings/envelope.h
+++ b/packages/settings/include/hibiscuspick/settings/envelope.h
@@ -1,6 +1,6 @@
-// What is stored at the platform around an operator's value: whether it is
-// deleted, the ids of the last writes, and for a snapshot the manifests before
-// it.
+// The stored form of an operator's object on the platform: the value, whether
+// it is deleted, the ids of the last writes and, for a snapshot, its previous
+// manifests.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,27 @@
 
 namespace hibiscuspick::settings {
 
-// Write ids an object keeps. A write whose reply was lost stays answerable
-// until this many others have gone over it.
+// The number of write ids that an object keeps. The outcome of a write whose
+// reply was lost can be looked up until this many later writes have replaced
+// it.
 inline constexpr size_t kKeptWriteIds = 8;
 
-// Earlier manifests a snapshot object keeps, so that an instance that starts
-// now can still pin one that backend servers have not dropped yet.
+// The number of previous manifests that a snapshot object keeps, so that an
+// instance that has just started can still pin one that backend servers have
+// not dropped yet.
 inline constexpr size_t kKeptManifests = 2;
 
-// The platform's limit for one value.
+// The platform's size limit for one value.
 inline constexpr size_t kMaxStoredBytes = 1 << 20;
 
-// One write: its id, and the version it gave. The writer can't know its own
-// version, so the next one fills it in; 0 for the last.
+// A write's id and the version it produced. A writer doesn't know its own
+// version in advance, so the next write fills it in; 0 for the last write.
 struct WriteMark {
   std::string id;
   Revision version;
 };
 
-// A manifest that was in force before.
+// A manifest that was replaced by a later one.
 struct EarlierValue {
   Revision version;
   Json value;
@@ -48,17 +50,18 @@
   Json value;
 };
 
-// Errors: kInvalidValue for anything that isn't an envelope.
+// Errors: kInvalidValue if the JSON isn't an envelope.
 Result<Envelope> ReadEnvelope(const Json& stored);
 
-// The same from its text.
+// Parses an envelope from its JSON text.
 Result<Envelope> ReadEnvelopeText(const std::string& text);
 
 Json ToJson(const Envelope& envelope);
 
-// What replaces `present` (nothing for a new object), which has the version
-// `version`. A null `value` deletes. With `keep_manifests` the replaced value
-// joins `previous`, unless the new one has the same index_version.
+// Builds the envelope that replaces `current` (nullopt for a new object), whose
+// version is `version`. A null `value` deletes the object. With
+// `keep_manifests` the replaced value is added to `previous`, unless the new
+// one has the same index_version.
 Envelope NextEnvelope(const std::optional<Envelope>& present, Revision version,
                       Json value, const std::string& write_id,
                       bool keep_manifests);
--- a/packages/settings/include/hibiscuspick/settings/faults.h
+++ b/packages/settings/include/hibiscuspick/settings/faults.h
@@ -1,5 +1,5 @@
-// Every fault of a document at once: an operator who mends one fault per try
-// loses time that an incident doesn't have.
+// Validation results that list all faults of a document at once, so that an
+// operator can correct them in one round.
 #pragma once
 
 #include <string>
@@ -10,11 +10,12 @@
 
 namespace hibiscuspick::settings {
 
-// One fault: the code (kInvalidValue, or kMalformedRequest for text that isn't
-// JSON), the JSON path ("$.backend_servers[2].address"), one sentence.
+// A validation fault: the code (kInvalidValue, or kMalformedRequest for text
+// that isn't JSON), the JSON path ("$.backend_servers[2].address") and a
+// message.
 using Fault = Error;
 
-// A checked value, or every fault found; the list is then not empty.
+// A validated value, or a non-empty list of faults.
 template <class T>
 using Checked = std::variant<T, std::vector<Fault>>;
 
@@ -23,20 +24,20 @@
   return std::holds_alternative<T>(it);
 }
 
-// The value; only after IsGood.
+// The value; requires IsValid.
 template <class T>
 const T& GoodOf(const Checked<T>& it) {
   return *std::get_if<T>(&it);
 }
 
-// The faults, empty if the value is good.
+// The faults; empty if the value is valid.
 template <class T>
 std::vector<Fault> FaultsOf(const Checked<T>& it) {
   const auto* faults = std::get_if<std::vector<Fault>>(&it);
   return faults ? *faults : std::vector<Fault>();
 }
 
-// All faults on one line each, "path: sentence".
+// One line for each fault: "path: message".
 std::string ToText(const std::vector<Fault>& faults);
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/include/hibiscuspick/settings/json_reader.h
+++ b/packages/settings/include/hibiscuspick/settings/json_reader.h
@@ -1,5 +1,5 @@
-// Reads one JSON object field by field and collects every fault with its
-// path, unknown keys included.
+// Reads the fields of one JSON object and collects a fault with its path for
+// each invalid, missing or unknown one.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
 
 namespace hibiscuspick::settings {
 
-// The longest name of an instance, service, customer and so on.
+// The maximum length of a name of an instance, service, customer etc.
 inline constexpr size_t kMaxNameLength = 100;
 
-// Whether the text may be a name: letters, digits, '.', '_', '-', at most
+// Whether the text is a valid name: letters, digits, '.', '_' and '-', at most
 // kMaxNameLength, not "." or "..". Names become parts of paths and log lines.
 bool IsName(std::string_view text);
 
@@ -28,17 +28,17 @@
   int64_t most;
 };
 
-// Every getter notes a fault and gives the fallback (or an empty value) when
-// the field is missing without a fallback, of another type or out of range.
+// A getter records a fault and returns the fallback (or an empty value) if the
+// field is missing and has no fallback, has the wrong type or is out of range.
 class JsonReader {
  public:
   // `value` and `faults` must outlive the reader.
   JsonReader(const Json& value, std::string path, std::vector<Fault>* faults);
 
   bool Has(const std::string& key) const;
-  // The field as it is, nullptr if it is missing.
+  // The raw field; nullptr if it is missing.
   const Json* Find(const std::string& key);
-  // The field, a fault if it is missing or not an array.
+  // The field; records a fault if it is missing or not an array.
   const Json& Array(const std::string& key);
 
   std::string Text(const std::string& key,
@@ -50,13 +50,14 @@
                   std::optional<int64_t> fallback = std::nullopt);
   bool Flag(const std::string& key, bool fallback);
   Address IpAddress(const std::string& key);
-  // One of the words; gives its place in the list.
+  // The field's index in `words`.
   size_t Choice(const std::string& key, std::span<const std::string_view> words,
                 std::optional<size_t> fallback = std::nullopt);
 
-  // Notes a fault of this field.
+  // Records a fault for the field.
   void Add(const std::string& key, std::string message);
-  // Notes every key that no getter asked for. Called last.
+  // Records a fault for every key that was not read before. Must be called
+  // last.
   void RefuseUnknown();
 
   std::string PathOf(const std::string& key) const { return path_ + "." + key; }
--- a/packages/settings/include/hibiscuspick/settings/mechanisms.h
+++ b/packages/settings/include/hibiscuspick/settings/mechanisms.h
@@ -1,5 +1,6 @@
-// Switches for experiments: each takes out one mechanism that an instance can
-// do without and still keep every promise. All are on by default.
+// Switches for experiments. Each disables one optional mechanism of an edge
+// instance, without which it still honours its guarantees. All are on by
+// default.
 #pragma once
 
 #include <array>
@@ -8,48 +9,49 @@
 namespace hibiscuspick::settings {
 
 struct Mechanisms {
-  // Second attempts instead of late ones.
+  // Hedges attempts that are expected to be late.
   bool hedging = true;
-  // A part of the budget kept for second attempts that a query can't do
-  // without.
+  // Reserves a part of the retry budget for attempts that a query needs to
+  // reach its least coverage.
   bool hedge_reserve = true;
-  // Second attempts after failures only where the least share needs them.
+  // After a failure, retries only if the least coverage requires it.
   bool needed_retries = true;
-  // Shards expected late aren't asked while the least share goes without them.
+  // Doesn't ask shards that are expected to be late if the least coverage is
+  // reached without them.
   bool kept_back_shards = true;
-  // Queries that queues make late are refused as a whole.
+  // Rejects a query as a whole if queues would make it late.
   bool whole_query_refusal = true;
-  // Queries not expected in time wait behind the others.
+  // Queues queries that are expected to miss their deadline behind the others.
   bool late_behind = true;
-  // Failing servers cost more while the budget is thin.
+  // Raises the cost of failing servers while the retry budget is low.
   bool dearer_failing = true;
-  // Failures fade by attempts where a server is met seldom.
+  // Decays a server's failures by attempts where it is used rarely.
   bool failures_by_attempts = true;
-  // Servers are compared by how slow their replies have been.
+  // Compares servers by the latency of their replies.
   bool learned_slowness = true;
-  // Attempts open at a server follow its latency.
+  // Adapts a server's limit of concurrent attempts to its latency.
   bool adapted_limit = true;
-  // A server with an overdue attempt is taken to stand still.
+  // Treats a server with an overdue attempt as paused.
   bool pause_belief = true;
-  // Servers are avoided when the cycle of their pauses foretells one.
+  // Avoids a server when the cycle of its pauses predicts the next one.
   bool expected_pauses = true;
-  // Data centres out of reach are found out by connections of their own.
+  // Detects unreachable data centres by separate probe connections.
   bool reachability_probes = true;
-  // A sender tells its data centre that it is cut off.
+  // Notifies a data centre that it is cut off from the sender.
   bool told_cut_off = true;
-  // Far parts are asked for and merged by a peer near them.
+  // Lets a peer near a remote data centre query its part and merge the replies.
   bool relays = true;
-  // Fan-outs are sent by a few instances for all.
+  // Concentrates the sending of fan-outs on a few instances.
   bool few_senders = true;
-  // Abandoned attempts end at once where others wait.
+  // Ends abandoned attempts at once if others are waiting.
   bool room_from_abandoned = true;
-  // Requests of the first moments wait for the configuration.
+  // Holds requests that arrive before the configuration is loaded.
   bool early_requests = true;
-  // Answers leave earlier by the lag that was measured.
+  // Sends answers earlier by the measured answer lag.
   bool answer_lag = true;
 };
 
-// A switch by the name that settings give it.
+// A switch and its name in settings files.
 struct MechanismName {
   std::string_view name;
   bool Mechanisms::*field;
--- a/packages/settings/include/hibiscuspick/settings/object_json.h
+++ b/packages/settings/include/hibiscuspick/settings/object_json.h
@@ -1,5 +1,5 @@
-// The operators' objects from and to JSON. Reading checks everything that can
-// be seen in the object alone; cross_check.h compares it with the others.
+// Conversion of the operators' objects from and to JSON. Reading validates what
+// can be seen in the object alone; cross_check.h compares it with the others.
 #pragma once
 
 #include "hibiscuspick/base/json.h"
@@ -8,14 +8,14 @@
 
 namespace hibiscuspick::settings {
 
-// At least one backend server; ids and addresses may not come twice.
+// Requires at least one backend server; ids and addresses must be unique.
 Checked<Service> ReadService(const ServiceId& id, const Json& value);
 
-// The snapshot's and services' names are checked as names only.
+// Doesn't check whether the snapshot and the services exist.
 Checked<Route> ReadRoute(const RouteId& id, const Json& value);
 
-// `revision` is the version of the object that brought it. A shard may not
-// come twice, since its documents would count twice in every coverage.
+// `revision` is the version of the stored object. Shards must be unique, since
+// a duplicate's documents would count twice in the coverage.
 Checked<Snapshot> ReadSnapshot(const SnapshotName& name, Revision revision,
                                const Json& value);
 
--- a/packages/settings/include/hibiscuspick/settings/object_name.h
+++ b/packages/settings/include/hibiscuspick/settings/object_name.h
@@ -1,5 +1,5 @@
-// The names of configuration objects at the platform: "services/claims-02",
-// "settings/customer/skjermvern", "drains/b1".
+// The names of configuration objects on the platform: "services/claims-02",
+// "settings/customer/c1", "drains/b1".
 #pragma once
 
 #include <optional>
@@ -12,12 +12,12 @@
 
 struct ObjectName {
   ObjectKind kind = ObjectKind::kService;
-  // What follows the kind: a name, or the level's path for settings.
+  // The part after the kind: a name, or the tree path for settings.
   std::string rest;
 };
 
-// Nothing if the kind is unknown, a part isn't a name, or a settings level
-// doesn't exist.
+// Returns nullopt if the kind is unknown, a part isn't a valid name, or the
+// settings level doesn't exist.
 std::optional<ObjectName> ParseObjectName(std::string_view text);
 
 std::string ToText(const ObjectName& name);
--- a/packages/settings/include/hibiscuspick/settings/objects.h
+++ b/packages/settings/include/hibiscuspick/settings/objects.h
@@ -1,5 +1,5 @@
-// The objects operators write, as checked values. Each is stored at the
-// platform as one object of the kind "config".
+// The configuration objects that operators write, as validated values. Each is
+// stored on the platform as one object of the kind "config".
 #pragma once
 
 #include <cstdint>
@@ -17,9 +17,9 @@
   BackendServerId id;
   Address address;
   DataCentreId data_centre;
-  // Attempts it runs at once.
+  // Attempts that it runs concurrently.
   int slots = 2;
-  // TCP connections it accepts, from all instances together.
+  // TCP connections that it accepts from all instances together.
   int max_connections = 25;
 };
 
@@ -28,8 +28,8 @@
   std::vector<BackendServer> backend_servers;
 };
 
-// What a route does when it cannot have both: answer once min_coverage is
-// there, or wait for the whole until the deadline.
+// What a route prefers if it can't have both: to answer as soon as min_coverage
+// is reached, or to wait for full coverage until the deadline.
 enum class Prefer { kLatency, kCoverage };
 
 struct Route {
@@ -37,7 +37,7 @@
   SnapshotName snapshot;
   Lane lane = Lane::kOrdinary;
   Prefer prefer = Prefer::kLatency;
-  // The services it covers; empty means all of the snapshot.
+  // The services it queries; empty means all of the snapshot.
   std::vector<ServiceId> services;
 };
 
@@ -45,17 +45,17 @@
   ShardId shard;
   ServiceId service;
   uint64_t documents = 0;
-  // The service's servers that hold it; empty means all of them.
+  // The service's servers that hold the shard; empty means all of them.
   std::vector<BackendServerId> backend_servers;
 };
 
-// A manifest: one version of every index family an answer may touch.
+// A manifest: one index version of every shard that an answer may draw on.
 struct Snapshot {
   SnapshotName name;
-  // The operator's own word for it, such as "2026-12-02a".
+  // The operator's own label, such as "2026-12-02a".
   std::string id;
   IndexVersion index_version;
-  // The platform's version of the object that brought it.
+  // The version of the stored object on the platform.
   Revision revision;
   std::vector<SnapshotShard> shards;
 };
--- a/packages/settings/include/hibiscuspick/settings/settings_keys.h
+++ b/packages/settings/include/hibiscuspick/settings/settings_keys.h
@@ -1,6 +1,6 @@
-// The one table of all keys of the settings tree. It drives checking,
-// resolving, the operators' API and docs/SETTINGS.md; a test holds the page to
-// it.
+// The table of all keys of the settings tree. Validation, resolution, the
+// operators' API and docs/SETTINGS.md follow it; a test compares the page with
+// the table.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +12,8 @@
 
 namespace hibiscuspick::settings {
 
-// The levels of the tree, highest first. A value is inherited by every level
-// below unless one of them overrides it.
+// The levels of the tree, highest first. A lower level inherits a value unless
+// it overrides it.
 enum class Level {
   kDefault,
   kSystem,
@@ -23,8 +23,8 @@
   kRoute
 };
 
-// The word in paths: "system", "data_centre", "customer", "service", "route";
-// "default" for the table's own value.
+// The level's name in paths: "system", "data_centre", "customer", "service",
+// "route"; "default" for the table's default value.
 std::string_view LevelName(Level level);
 
 enum class Key {
@@ -62,8 +62,8 @@
 inline constexpr size_t kKeyCount =
     static_cast<size_t>(Key::kRecordWindowMs) + 1;
 
-// How a value is written in JSON. Inside, all are one double: 0 or 1 for a
-// flag, the place in the list for a choice.
+// The JSON type of a value. In memory every value is a double: 0 or 1 for a
+// flag, the index in the list for a choice.
 enum class KeyType { kMillis, kInteger, kFraction, kFlag, kChoice };
 
 struct KeyRow {
@@ -73,23 +73,23 @@
   double fallback;
   double least;
   double most;
-  // Bit 1 << Level for each level where it may be set.
+  // Bit 1 << Level for each level that may set the key.
   unsigned levels;
-  // Below the data centre it can only be made smaller: a customer, service or
-  // route can't take more than the system gives.
+  // A level below the data centre can only lower the value: a customer,
+  // service or route can't take more than the system grants.
   bool capped;
   std::string_view meaning;
 };
 
-// Rows in the order of Key.
+// The rows, in the order of Key.
 std::span<const KeyRow> KeyTable();
 
 const KeyRow& RowOf(Key key);
 
-// The row of that name, nullptr if there is none.
+// The row of that name; nullptr if there is none.
 const KeyRow* FindRow(std::string_view name);
 
-// The words of a kChoice key, in the order of their numbers; empty for others.
+// The choices of a kChoice key, in the order of their values; empty for others.
 std::span<const std::string_view> ChoicesOf(Key key);
 
 bool MayStandAt(const KeyRow& row, Level level);
--- a/packages/settings/include/hibiscuspick/settings/settings_tree.h
+++ b/packages/settings/include/hibiscuspick/settings/settings_tree.h
@@ -1,4 +1,4 @@
-// The settings tree: values that tune, set at a level and inherited below.
+// The settings tree: tuning values that are set at a level and inherited below.
 #pragma once
 
 #include <array>
@@ -17,17 +17,16 @@
 
 namespace hibiscuspick::settings {
 
-// One level's own values; nothing where it doesn't set the key.
+// The values that one level sets itself; nullopt for keys that it doesn't set.
 using LevelValues = std::array<std::optional<double>, kKeyCount>;
 
-// A node of the tree: "system", or a level and a name such as
-// "customer/skjermvern".
+// A node of the tree: "system", or a level and a name such as "customer/c1".
 struct TreePath {
   Level level = Level::kSystem;
   std::string name;
 };
 
-// Nothing if there is no such level or the name isn't one.
+// Returns nullopt if the level is unknown or the name invalid.
 std::optional<TreePath> ParseTreePath(std::string_view text);
 
 struct SettingsTree {
@@ -38,18 +37,19 @@
   std::unordered_map<RouteId, LevelValues> routes;
 };
 
-// Checks one node's JSON object against the table: known keys, allowed at this
-// level, of their type and in their range.
+// Validates one node's JSON object against the table: known keys that may be
+// set at this level, with values of the right type and range.
 Checked<LevelValues> ReadLevelValues(Level level, const Json& value);
 
 void SetLevel(SettingsTree* tree, const TreePath& path, LevelValues values);
 
 void EraseLevel(SettingsTree* tree, const TreePath& path);
 
-// The node's own values, nullptr if it sets none.
+// The node's own values; nullptr if there is no such node.
 const LevelValues* FindLevel(const SettingsTree& tree, const TreePath& path);
 
-// Where a value is asked for; an empty name leaves its level out.
+// The scope for which values are resolved; a level with an empty name is
+// skipped.
 struct Scope {
   DataCentreId data_centre;
   CustomerId customer;
@@ -57,8 +57,8 @@
   RouteId route;
 };
 
-// A value in force and the level that set it. `capped` if that level asked for
-// more than the system gives.
+// An effective value and the level that set it. `capped` if that level asked
+// for more than the system grants.
 struct EffectiveValue {
   double number = 0;
   Level level = Level::kDefault;
@@ -67,7 +67,7 @@
 
 EffectiveValue Resolve(const SettingsTree& tree, const Scope& scope, Key key);
 
-// All values of one scope, resolved once; the getters then never fail.
+// All values of one scope, resolved in advance; the getters below can't fail.
 struct EffectiveSettings {
   std::array<double, kKeyCount> numbers{};
 };
@@ -80,14 +80,14 @@
 bool FlagOf(const EffectiveSettings& settings, Key key);
 SendingPolicy SendingPolicyOf(const EffectiveSettings& settings);
 
-// The lane's own key of the two groups that have one per lane.
+// The key of the lane in the two groups that have one key for each lane.
 Key LaneMinimumKey(Lane lane);
 Key QueueLimitKey(Lane lane);
 
-// A number as the key's type writes it in JSON.
+// The value in the JSON form of the key's type.
 Json ToJson(const KeyRow& row, double number);
 
-// Every key: {"value", "level"} and "capped": true where it applies.
+// All keys, each as {"value", "level"}, with "capped": true if it is capped.
 Json EffectiveJson(const SettingsTree& tree, const Scope& scope);
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/src/config_store.cc
+++ b/packages/settings/src/config_store.cc
@@ -22,13 +22,13 @@
     applied->changed.push_back(object.name);
     return;
   }
-  // One version with two contents: the platform's counter was set back and has
-  // given the number again. Keeping ours is as good as taking the other, but
-  // instances would differ for good and nobody would know: so, an alarm.
+  // One version with two contents: the platform's counter was reset and it
+  // assigned the number again. Neither text is preferable, but instances would
+  // differ permanently and silently, so raise an alarm.
   if (object.version == known.version && object.text != known.text) {
     applied->alarms.push_back(WentBack(
         object.name, "version " + std::to_string(object.version.value) +
-                         " has two contents"));
+                         " has two different contents"));
   }
 }
 
@@ -49,8 +49,8 @@
   }
 }
 
-// Objects of the store that a whole listing lacks or has older, although its
-// revision says that it must know them.
+// Finds objects of the store that a full listing lacks or has in an older
+// version, although its revision has passed the store's version.
 void FindOlder(const ConfigStore& store, const ConfigDelta& whole,
                Applied* applied) {
   std::map<std::string_view, Revision> listed;
@@ -59,9 +59,10 @@
     const auto it = listed.find(name);
     const Revision there = it == listed.end() ? Revision() : it->second;
     if (there < known.version && known.version <= whole.complete_to) {
-      applied->alarms.push_back(WentBack(
-          name, "in force at version " + std::to_string(known.version.value) +
-                    ", the platform has " + std::to_string(there.value)));
+      applied->alarms.push_back(
+          WentBack(name, "version " + std::to_string(known.version.value) +
+                             " is in force, but the platform has version " +
+                             std::to_string(there.value)));
     }
   }
 }
@@ -80,7 +81,7 @@
   if (delta.complete_to < known) {
     applied.alarms.push_back(WentBack(
         "", "the platform is at revision " +
-                std::to_string(delta.complete_to.value) + ", revision " +
+                std::to_string(delta.complete_to.value) + ", but revision " +
                 std::to_string(known.value) + " is in force"));
     return applied;
   }
--- a/packages/settings/src/configuration.cc
+++ b/packages/settings/src/configuration.cc
@@ -12,8 +12,8 @@
 namespace hibiscuspick::settings {
 namespace {
 
-// Each Add… below puts one object's value into the view, or leaves what is
-// there and gives the faults.
+// Each Add function below puts one object's value into the view. If the value
+// is invalid, it leaves the existing one and returns the faults.
 
 std::vector<Fault> AddService(const ObjectName& name, const Json& value,
                               Configuration* out) {
@@ -33,8 +33,8 @@
   return {};
 }
 
-// The present manifest and the earlier ones; an earlier one that can't be read
-// is only left out.
+// Adds the current manifest and the previous ones. A previous one that can't be
+// parsed is skipped.
 std::vector<Fault> AddSnapshot(const ObjectName& name, Revision version,
                                const Envelope& envelope, Configuration* out) {
   const SnapshotName id(name.rest);
@@ -74,7 +74,7 @@
     case ObjectKind::kSettings:
       return AddLevel(name, envelope.value, out);
     case ObjectKind::kDrain:
-      // Even an unreadable order to drain is an order to drain.
+      // An order to drain applies even if its value can't be parsed.
       out->drains.insert(BackendServerId(name.rest));
       return {};
   }
@@ -101,12 +101,12 @@
   }
 }
 
-// Puts one changed object into the view.
+// Updates the view from one changed object.
 std::vector<Fault> TakeObject(const ConfigObject& object, Configuration* out) {
   const auto name = ParseObjectName(object.name);
-  if (!name) return {{Code::kInvalidValue, "", "unknown kind"}};
+  if (!name) return {{Code::kInvalidValue, "", "unknown kind of object"}};
   const auto parsed = ReadEnvelopeText(object.text);
-  // An envelope that can't be read reads as a value that can't be read.
+  // An unparsable envelope counts as an unparsable value.
   const Envelope envelope = IsOk(parsed) ? ValueOf(parsed) : Envelope();
   if (!envelope.deleted) {
     return AddValue(*name, object.version, envelope, out);
@@ -115,7 +115,7 @@
   return {};
 }
 
-// Takes the object if it is newer than what the view was built from.
+// Updates the view if the object differs from the one it was built from.
 bool TakeIfChanged(const ConfigObject& object, Configuration* out) {
   auto& known = out->objects[object.name];
   if (known.version == object.version) return false;
@@ -139,7 +139,8 @@
   for (auto& it : FindMismatches(configuration)) {
     warnings.push_back(std::move(it));
   }
-  // The maps have no order of their own; instances should list alike.
+  // Hash maps have no defined order; sorting makes the list equal on all
+  // instances.
   std::sort(warnings.begin(), warnings.end(), [](auto& a, auto& b) {
     return std::tie(a.place, a.message) < std::tie(b.place, b.message);
   });
--- a/packages/settings/src/cross_check.cc
+++ b/packages/settings/src/cross_check.cc
@@ -22,15 +22,15 @@
                      [&](const auto& it) { return it.id == id; });
 }
 
-// Notes the owner; of two the one whose name sorts first, so that all instances
-// name the same.
+// Records the owner. Of two owners it keeps the one whose name sorts first, so
+// that all instances name the same.
 template <class Map, class Place>
 void NoteOwner(Map* owners, const Place& place, const ServiceId& service) {
   const auto [it, inserted] = owners->emplace(place, service);
   if (!inserted && service < it->second) it->second = service;
 }
 
-// Which service has a server, by its id and by its address.
+// Maps a server's id and address to the service that owns it.
 struct ServerIndex {
   std::map<BackendServerId, ServiceId> by_id;
   std::map<Address, ServiceId> by_address;
@@ -41,7 +41,7 @@
       NoteOwner(&by_address, it.address, service.id);
     }
   }
-  // Another service that has the server, if there is one.
+  // Another service that has the server; nullopt if there is none.
   std::optional<ServiceId> OtherOwner(const Service& service,
                                       const BackendServer& server) const {
     const auto id = by_id.find(server.id);
@@ -53,8 +53,8 @@
   }
 };
 
-// Servers that another service has too: their slots would be counted twice
-// and overrun.
+// Faults for servers that another service has too: their slots would be counted
+// twice and overcommitted.
 std::vector<Fault> SharedServers(const ServerIndex& index,
                                  const Service& service) {
   std::vector<Fault> faults;
@@ -79,7 +79,7 @@
   return index;
 }
 
-// Shards that name a service or server that isn't there.
+// Faults for shards that name a service or server that doesn't exist.
 std::vector<Fault> MissingServers(const Configuration& configuration,
                                   const Snapshot& snapshot) {
   std::vector<Fault> faults;
@@ -109,7 +109,7 @@
   return documents;
 }
 
-// The last manifest an object had, also if it was deleted since.
+// The object's last manifest, even if the object has been deleted since.
 std::optional<Snapshot> LastManifest(const Envelope& present) {
   Json value = present.value;
   if (present.deleted) {
@@ -121,25 +121,25 @@
   return GoodOf(snapshot);
 }
 
-// The index version tells backend servers and queries which indexes are meant.
-// Were it to fall, or to stand for two sets of shards, one answer could be
-// gathered from two versions and nobody would notice.
+// The index version identifies the indexes to backend servers and queries. If
+// it decreased, or stood for two sets of shards, one answer could silently
+// combine two versions.
 std::vector<Fault> VersionFaults(const Snapshot& last, const Snapshot& next) {
   const std::string place = "$.index_version";
   const std::string number = std::to_string(last.index_version.value);
   if (next.index_version < last.index_version) {
-    return {MakeFault(place, "must not fall below the present " + number)};
+    return {MakeFault(place, "must not be lower than the current " + number)};
   }
   if (next.index_version == last.index_version &&
       DocumentsOf(next) != DocumentsOf(last)) {
     return {MakeFault(place, "version " + number +
-                                 " already stands for other shards or "
-                                 "documents; give a higher one")};
+                                 " is already used for other shards or "
+                                 "documents; use a higher one")};
   }
   return {};
 }
 
-// What fits together before a change and no longer after it.
+// Inconsistencies that a change introduces.
 std::vector<Fault> FreshMismatches(const Configuration& before,
                                    const Configuration& after) {
   const auto known = FindMismatches(before);
@@ -185,8 +185,8 @@
   const auto manifest = NewestManifest(configuration, route.snapshot);
   if (!manifest) {
     return {MakeFault("$.snapshot", "no snapshot " + route.snapshot.text +
-                                        "; the route refuses until it is "
-                                        "there")};
+                                        "; the route rejects queries until it "
+                                        "exists")};
   }
   std::set<ServiceId> covered;
   for (const auto& it : manifest->shards) covered.insert(it.service);
@@ -224,7 +224,7 @@
   }
 }
 
-// The faults with the object's name before their place.
+// Appends the faults with the object's name prefixed to their place.
 void AddNamed(const std::string& name, std::vector<Fault> faults,
               std::vector<Fault>* out) {
   for (auto& it : faults) {
--- a/packages/settings/src/daemon_settings.cc
+++ b/packages/settings/src/daemon_settings.cc
@@ -19,7 +19,8 @@
   std::string secret = reader->Text(key, "");
   const std::string variable = reader->Text(env_key, "");
   if (reader->Has(key) && named) {
-    reader->Add(env_key, "stands beside " + key + "; give one of the two");
+    reader->Add(env_key,
+                "is set together with " + key + "; set only one of the two");
     return secret;
   }
   if (named) secret = environment(variable).value_or("");
--- a/packages/settings/src/edge_settings.cc
+++ b/packages/settings/src/edge_settings.cc
@@ -10,7 +10,7 @@
 namespace hibiscuspick::settings {
 namespace {
 
-// A number with a fraction, from 0 to `most`.
+// A number from 0 to `most`, which may have a fraction.
 double ReadFraction(JsonReader* reader, const std::string& key, double most,
                     double fallback) {
   const Json* field = reader->Find(key);
--- a/packages/settings/src/envelope.cc
+++ b/packages/settings/src/envelope.cc
@@ -29,8 +29,8 @@
   return value.is_object() ? value.value(kIndexVersionKey, Json()) : Json();
 }
 
-// The replaced value before those that were replaced earlier. A pin goes by
-// index version, so two manifests of one are never kept.
+// The replaced value followed by the previous ones. Queries pin manifests by
+// index version, so only one manifest of an index version is kept.
 std::vector<EarlierValue> NextPrevious(const Envelope& present,
                                        Revision version, const Json& value) {
   auto previous = present.previous;
--- a/packages/settings/src/file_fields.h
+++ b/packages/settings/src/file_fields.h
@@ -1,4 +1,4 @@
-// What both kinds of the daemon's settings file have in common.
+// Fields that the settings files of the daemon and of edge instances share.
 #pragma once
 
 #include <string>
@@ -11,17 +11,18 @@
 
 namespace hibiscuspick::settings {
 
-// The longest time that a setting may name, in milliseconds.
+// The maximum of any duration in a settings file, in milliseconds.
 inline constexpr int64_t kHour = 3'600'000;
 
-// An optional object; a missing one reads as empty.
+// An optional object; empty if it is missing.
 const Json& Section(JsonReader* reader, const std::string& key);
 
-// Whole milliseconds; `fallback` if the key is missing.
+// A whole number of milliseconds; `fallback` if the key is missing.
 Millis ReadMillis(JsonReader* reader, const std::string& key,
                   IntegerRange range, Millis fallback);
 
-// The section "log" of the object at `path`. What it leaves out stays as it is.
+// Reads the section "log" of the object at `path`; missing fields leave the
+// outputs unchanged.
 void ReadLog(JsonReader* parent, const std::string& path, std::string* level,
              LogFormat* format, std::vector<Fault>* faults);
 
--- a/packages/settings/src/json_reader.cc
+++ b/packages/settings/src/json_reader.cc
@@ -17,7 +17,7 @@
   return letter || digit || c == '.' || c == '_' || c == '-';
 }
 
-// Whether the number fits int64_t, so that reading it can't wrap around.
+// Whether the number fits into int64_t; reading a larger one would wrap around.
 bool IsInteger(const Json& value) {
   if (!value.is_number_integer()) return false;
   return !value.is_number_unsigned() || value.get<uint64_t>() <= INT64_MAX;
--- a/packages/settings/src/object_json.cc
+++ b/packages/settings/src/object_json.cc
@@ -29,7 +29,7 @@
   faults->push_back({Code::kInvalidValue, std::move(path), std::move(message)});
 }
 
-// A list of names, none twice.
+// A list of distinct names.
 template <class Id>
 std::vector<Id> ReadNames(JsonReader* reader, const std::string& key,
                           std::vector<Fault>* faults) {
@@ -46,7 +46,7 @@
     }
     names.emplace_back(list[i].get<std::string>());
     if (!seen.insert(names.back().text).second) {
-      Refuse(faults, path, "comes twice");
+      Refuse(faults, path, "is listed twice");
     }
   }
   return names;
@@ -67,7 +67,7 @@
   return server;
 }
 
-// Two entries for one server would count its slots twice.
+// A duplicate entry for one server would count its slots twice.
 void RefuseDoubleServers(const std::vector<BackendServer>& servers,
                          const std::string& path, std::vector<Fault>* faults) {
   std::set<std::string> ids;
@@ -76,10 +76,11 @@
     const auto& it = servers[i];
     const std::string element = ElementPath(path, i);
     if (!it.id.empty() && !ids.insert(it.id.text).second) {
-      Refuse(faults, element + ".id", it.id.text + " comes twice");
+      Refuse(faults, element + ".id", it.id.text + " is listed twice");
     }
     if (it.address.port != 0 && !addresses.insert(it.address).second) {
-      Refuse(faults, element + ".address", ToText(it.address) + " comes twice");
+      Refuse(faults, element + ".address",
+             ToText(it.address) + " is listed twice");
     }
   }
 }
@@ -98,14 +99,14 @@
   return shard;
 }
 
-// The sum of a snapshot's documents must fit, or coverage would be a lie.
+// The sum of the documents must not overflow, or the coverage would be wrong.
 void RefuseTooManyDocuments(const Snapshot& snapshot,
                             std::vector<Fault>* faults) {
   constexpr uint64_t kMost = 1ULL << 53;
   uint64_t sum = 0;
   for (const auto& it : snapshot.shards) {
     if (it.documents > kMost - sum) {
-      Refuse(faults, "$.shards", "more than 2^53 documents in all");
+      Refuse(faults, "$.shards", "more than 2^53 documents in total");
       return;
     }
     sum += it.documents;
@@ -138,7 +139,7 @@
         ReadBackendServer(list[i], ElementPath(path, i), &faults));
   }
   if (reader.Has("backend_servers") && list.empty()) {
-    reader.Add("backend_servers", "must hold at least one backend server");
+    reader.Add("backend_servers", "must contain at least one backend server");
   }
   RefuseDoubleServers(service.backend_servers, path, &faults);
   reader.RefuseUnknown();
@@ -177,11 +178,11 @@
     snapshot.shards.push_back(ReadShard(list[i], path, &faults));
     const std::string& shard = snapshot.shards.back().shard.text;
     if (!shard.empty() && !seen.insert(shard).second) {
-      Refuse(&faults, path + ".shard", shard + " comes twice");
+      Refuse(&faults, path + ".shard", shard + " is listed twice");
     }
   }
   if (reader.Has("shards") && list.empty()) {
-    reader.Add("shards", "must hold at least one shard");
+    reader.Add("shards", "must contain at least one shard");
   }
   RefuseTooManyDocuments(snapshot, &faults);
   reader.RefuseUnknown();
--- a/packages/settings/src/settings_tree.cc
+++ b/packages/settings/src/settings_tree.cc
@@ -12,7 +12,7 @@
 constexpr Level kNamedLevels[] = {Level::kDataCentre, Level::kCustomer,
                                   Level::kService, Level::kRoute};
 
-// The levels that apply to a scope, highest first.
+// The tree's nodes that apply to a scope, highest level first.
 struct Chain {
   struct Link {
     Level level;
@@ -50,8 +50,8 @@
 
 EffectiveValue ResolveIn(const Chain& chain, const KeyRow& row) {
   EffectiveValue out{row.fallback, Level::kDefault, false};
-  // What the levels of the operators of the whole give; only theirs can raise
-  // a capped key.
+  // The value set for the whole system or data centre; only these levels can
+  // raise a capped key.
   double cap = row.fallback;
   for (size_t i = 0; i < chain.size; ++i) {
     const auto& link = chain.links[i];
@@ -80,7 +80,7 @@
   return std::nullopt;
 }
 
-// The number of a JSON value, nothing if it has the wrong type or is out of
+// The number of a JSON value; nullopt if it has the wrong type or is out of
 // range.
 std::optional<double> ReadNumber(const KeyRow& row, const Json& value) {
   if (row.type == KeyType::kChoice) return ReadChoice(row, value);
@@ -279,7 +279,7 @@
     case KeyType::kFraction:
       break;
   }
-  // 200 rather than 200.0 where nothing is lost.
+  // Writes 200 rather than 200.0.
   if (number == std::floor(number)) return static_cast<int64_t>(number);
   return number;
 }
--- a/packages/settings/tests/config_store_test.cc
+++ b/packages/settings/tests/config_store_test.cc
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-// Messages between instances arrive out of order, late and twice. Whatever the
-// order, an instance must end with the newest of each object, or an operator's
-// accepted change would be undone somewhere.
+// Messages between instances arrive out of order, late and duplicated. In any
+// order an instance must end with the newest version of each object; otherwise
+// an operator's accepted change would be lost there.
 BOOST_DATA_TEST_CASE(any_order_ends_in_the_same_store, data::xrange(50), seed) {
   hp::Random random(static_cast<uint64_t>(seed));
   std::vector<ConfigDelta> deltas;
@@ -55,9 +55,9 @@
   BOOST_TEST(shuffled.complete_to.value == 30);
 }
 
-// A message is lost between two instances. The next one must not make the
-// receiver believe that it has everything, or it would never ask again for
-// what it missed and serve old settings for ever.
+// A message between two instances is lost. The next one must not raise the
+// receiver's watermark: it would never request the missing change and would
+// keep serving old settings.
 BOOST_AUTO_TEST_CASE(a_gap_does_not_raise_the_watermark) {
   auto store = StoreWith(Revision(10), {Object("routes/a", 3)});
   const auto applied = ApplyDelta(
@@ -73,7 +73,7 @@
   BOOST_TEST(store.objects.contains("routes/c"));
 }
 
-// An object is deleted while a peer is cut off. When the peer comes back with
+// An object is deleted while a peer is partitioned. When the peer returns with
 // the old value, the object must stay deleted.
 BOOST_AUTO_TEST_CASE(a_deleted_object_does_not_come_back) {
   const auto stale = StoreWith(Revision(5), {Object("services/s", 5)});
@@ -84,8 +84,8 @@
   BOOST_TEST(store.objects["services/s"].text == "deleted");
 }
 
-// The platform is restored from a backup of an hour ago. Its old values must
-// not replace what operators were told is in force; they are alarmed instead.
+// The platform is restored from an old backup. Its values must not replace what
+// operators were told is in force; they raise an alarm instead.
 BOOST_AUTO_TEST_CASE(a_restored_platform_is_refused_and_alarmed) {
   auto store = StoreWith(Revision(20), {Object("settings/system", 18, "new")});
   const auto before = HashOf(store);
@@ -99,9 +99,9 @@
   BOOST_TEST(HashOf(store) == before);
 }
 
-// After a restore the platform's counter grows past the old one, so that its
-// revision alone looks right. The whole comparison still finds the objects that
-// are older there, or gone, and keeps what is in force.
+// After a restore the platform's counter grows past its old value, so that the
+// revision alone looks right. Comparing the full listing still finds the
+// objects that are older there or missing, and keeps the local ones.
 BOOST_AUTO_TEST_CASE(
     a_restored_platform_that_went_on_is_found_object_by_object) {
   auto store = StoreWith(Revision(20),
@@ -121,9 +121,9 @@
   BOOST_TEST(store.objects["routes/new"].version.value == 22);
 }
 
-// The restore comes after writes that were accepted here and that the platform
-// had not yet told in a listing. The watermark alone is below the restored
-// revision and would let the old values pass for news.
+// The platform is restored after it accepted writes from this instance that no
+// listing had contained yet. The watermark alone is below the restored
+// revision, so that the old values would be accepted as new ones.
 BOOST_AUTO_TEST_CASE(a_restore_below_single_accepted_writes_is_found) {
   auto store = StoreWith(Revision(53), {Object("settings/system", 53)});
   ApplyDelta(&store, {{}, {}, {Object("settings/system", 56, "accepted")}});
@@ -136,9 +136,9 @@
   BOOST_TEST(store.complete_to.value == 53);
 }
 
-// A watch answers slowly, and meanwhile a peer has told the news. The late
-// answer is older than what is known by now, but nothing was restored: an
-// alarm would wake someone for nothing.
+// A peer sends newer changes while a watch is still waiting for its answer. The
+// late answer is older than the store by then, but nothing was restored, so it
+// must not raise an alarm.
 BOOST_AUTO_TEST_CASE(a_slow_answer_is_no_restore) {
   auto store = StoreWith(Revision(10), {});
   const Revision known = store.newest;
@@ -150,8 +150,8 @@
   BOOST_TEST(store.complete_to.value == 14);
 }
 
-// One version with two contents means that the platform's counter was set back
-// and gave a number twice. Two instances would differ for good.
+// One version with two contents means that the platform's counter was reset and
+// assigned a number twice. Two instances would differ permanently.
 BOOST_AUTO_TEST_CASE(one_version_with_two_contents_is_alarmed) {
   auto store = StoreWith(Revision(5), {Object("routes/a", 5, "one")});
   const auto applied = ApplyDelta(
@@ -161,7 +161,7 @@
   BOOST_TEST(store.objects["routes/a"].text == "one");
 }
 
-// An accepted write is applied before the platform's watch tells of it; other
+// An accepted write is applied before the platform's watch reports it. Other
 // changes before it may still be unknown, so the watermark stays.
 BOOST_AUTO_TEST_CASE(an_accepted_write_leaves_the_watermark) {
   auto store = StoreWith(Revision(5), {});
@@ -172,8 +172,8 @@
   BOOST_TEST(store.generation > generation);
 }
 
-// All instances start on a platform that holds nothing yet. Were its empty
-// answer taken for none, no operator could ever write the first object.
+// All instances start on an empty platform. If its empty answer counted as no
+// answer, no operator could ever write the first object.
 BOOST_AUTO_TEST_CASE(an_empty_platform_is_an_answer) {
   ConfigStore store;
   ApplyDelta(&store, {{}, {}, {}});
--- a/packages/settings/tests/configuration_test.cc
+++ b/packages/settings/tests/configuration_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Writes objects as an operator's instance would, without a platform.
+// Writes objects as an operator's instance does, without a platform.
 struct Bench {
   hps::ConfigStore store;
   uint64_t version = 0;
@@ -88,8 +88,8 @@
   BOOST_TEST(view->snapshots.at(kName).size() == 2);
 }
 
-// An operator publishes a snapshot again with an older or the same number but
-// other shards. Answers gathered under that number would mix two versions.
+// An operator publishes a snapshot again with a lower or the same index version
+// but other shards. Answers gathered under that number would mix two versions.
 BOOST_AUTO_TEST_CASE(an_index_version_never_falls_or_changes_its_meaning) {
   Bench bench;
   bench.Put("services/s", Service("b1", 9101));
@@ -102,7 +102,7 @@
     BOOST_REQUIRE(checked.faults.size() == 1);
     BOOST_TEST(checked.faults[0].place == "$.index_version");
   }
-  // Nor by way of deleting it first.
+  // Deleting the snapshot first makes no difference.
   bench.Put("snapshots/n", nullptr);
   BOOST_TEST(hps::BuildConfiguration(bench.store)->snapshots.empty());
   BOOST_TEST(bench.Check("snapshots/n", Manifest(4)).faults.size() == 1);
@@ -121,8 +121,8 @@
              1);
 }
 
-// Two services with one backend server would each count its slots as their
-// own and overrun it.
+// Two services with one backend server would each count its slots as their own
+// and overload it.
 BOOST_AUTO_TEST_CASE(a_backend_server_belongs_to_one_service) {
   Bench bench;
   bench.Put("services/s", Service("b1", 9101));
@@ -130,7 +130,7 @@
   BOOST_TEST(bench.Check("services/t", Service("b2", 9101)).faults.size() == 1);
   BOOST_TEST(bench.Check("services/t", Service("b2", 9102)).faults.empty());
   BOOST_TEST(bench.Check("services/s", Service("b1", 9103)).faults.empty());
-  // Two racing writes may both get through; then it is at least said.
+  // Two racing writes may both pass; then there is at least a warning.
   bench.Put("services/t", Service("b1", 9101));
   BOOST_TEST(!hps::BuildConfiguration(bench.store)->warnings.empty());
 }
@@ -149,8 +149,8 @@
   BOOST_TEST(warnings[0].place == "snapshots/n $.shards[0].service");
 }
 
-// A newer release writes an object that this one can't read. Dropping it would
-// take a service out of every answer; the last readable value goes on.
+// A newer release writes objects that this one can't parse. Dropping one would
+// remove its service from every answer, so the last valid value stays in use.
 BOOST_AUTO_TEST_CASE(an_unreadable_object_keeps_its_last_value) {
   Bench bench;
   bench.Put("services/s", Service("b1", 9101));
@@ -172,9 +172,10 @@
   BOOST_TEST(view->warnings.size() > 4);
 }
 
-// The view is built from the last one and what changed. Whatever is written,
-// broken, mended and deleted on the way, it must be the view that an instance
-// builds which starts now, or two instances would serve two configurations.
+// The view is built incrementally from the previous one. Whatever is written,
+// invalidated, corrected and deleted on the way, it must equal the view that a
+// newly started instance builds, or two instances would serve different
+// configurations.
 BOOST_AUTO_TEST_CASE(a_view_built_in_steps_equals_one_built_at_once) {
   Bench bench;
   std::shared_ptr<const hps::Configuration> view;
--- a/packages/settings/tests/edge_settings_test.cc
+++ b/packages/settings/tests/edge_settings_test.cc
@@ -37,7 +37,7 @@
   BOOST_TEST(!IsEdgeSettings("{\"edge\": {"));
 }
 
-// Every mechanism is on unless the file says otherwise, each by its own name.
+// Every mechanism is on unless the file switches it off by its name.
 BOOST_AUTO_TEST_CASE(MechanismsAreOnUnlessSwitchedOff) {
   for (const auto& off : kMechanismNames) {
     Json file = Good();
@@ -81,8 +81,8 @@
     {"/edge/log", Json{{"level", "loud"}}, "$.edge.log.level"},
 };
 
-// A file with a slip must say where it is, and not start a process that serves
-// by a guess.
+// An error in the file must be reported with its path and must not start a
+// process with guessed settings.
 BOOST_DATA_TEST_CASE(FaultsNameTheirPlace, bdata::make(kBad), row) {
   Json file = Good();
   file[Json::json_pointer(row.pointer)] = row.value;
--- a/packages/settings/tests/fuzz_test.cc
+++ b/packages/settings/tests/fuzz_test.cc
@@ -57,13 +57,13 @@
   return std::nullopt;
 }
 
-// What one reader made of a text: nothing if it refused, else what it writes.
+// Parses a value and serialises the result; nullopt if it is rejected.
 using Rewrite = std::function<std::optional<Json>(const Json&)>;
 
 template <class T>
 std::optional<Json> Written(const Checked<T>& it) {
   if (!IsGood(it)) {
-    // An operator who is refused has to be told why.
+    // A rejection must give the operator a reason.
     BOOST_TEST(!FaultsOf(it).empty());
     return std::nullopt;
   }
@@ -123,10 +123,10 @@
 
 }  // namespace
 
-// A value is damaged on its way, or an operator's script writes what no one
-// thought of. A daemon that ended on it would end again on each restart, since
-// the platform keeps it; one that read it otherwise than it writes it would
-// disagree with the next instance about what is in force.
+// A value is damaged in transit, or an operator's script writes an unexpected
+// one. A daemon that crashed on it would crash again on each restart, since the
+// platform keeps the value. One that parsed it differently from what it
+// serialises would disagree with other instances about the configuration.
 BOOST_DATA_TEST_CASE(what_is_accepted_reads_the_same_once_written,
                      data::make(kRows), row) {
   Random random(1);
@@ -149,13 +149,13 @@
     BOOST_REQUIRE_MESSAGE(rewritten.has_value(), text);
     BOOST_REQUIRE_MESSAGE(*rewritten == *written, text);
   }
-  // Else the mutations would test only one side.
+  // Otherwise the mutations would test only one side.
   BOOST_TEST(accepted > 0);
   BOOST_TEST(refused > 0);
 }
 
-// A settings file is cut short or mistyped. The daemon is to name the place
-// and end; one that started without a token would let anyone change the
+// A settings file is truncated or mistyped. The daemon must report the path and
+// exit; one that started without a token would let anyone change the
 // configuration.
 BOOST_AUTO_TEST_CASE(damaged_daemon_settings_are_refused_or_whole) {
   Random random(2);
--- a/packages/settings/tests/object_json_test.cc
+++ b/packages/settings/tests/object_json_test.cc
@@ -97,7 +97,7 @@
   return places;
 }
 
-// The faults, and whether a good value comes back unchanged through ToJson.
+// Checks the faults, and that a valid value is unchanged by ToJson.
 template <class T>
 void Check(const hps::Checked<T>& result, const ObjectCase& it) {
   BOOST_TEST(PlacesOf(FaultsOf(result)) == it.places,
--- a/packages/settings/tests/settings_page_test.cc
+++ b/packages/settings/tests/settings_page_test.cc
@@ -1,4 +1,4 @@
-// Holds docs/SETTINGS.md to the table of keys and to the daemon's file.
+// Compares docs/SETTINGS.md with the table of keys and the settings files.
 #include <boost/test/unit_test.hpp>
 #include <fstream>
 #include <set>
@@ -92,7 +92,7 @@
   }
 }
 
-// The example leaves one out; all the rest of it is checked as ever.
+// The example omits some fields; the rest is validated as usual.
 BOOST_AUTO_TEST_CASE(the_pages_file_of_an_edge_instance_is_a_good_one) {
   const std::string page = Page();
   const std::string fence = "```jsonc\n";
