--- a/packages/operators/include/hibiscuspick/operators/api.h
+++ b/packages/operators/include/hibiscuspick/operators/api.h
@@ -1,5 +1,5 @@
-// The operators' API apart from HTTP: requests in, replies out. docs/
-// OPERATORS.md describes it for its users.
+// The operators' API without its HTTP layer: handles requests and returns
+// replies. docs/OPERATORS.md documents it for users.
 #pragma once
 
 #include <functional>
@@ -17,57 +17,58 @@
 
 struct Request {
   std::string method;
-  // Decoded, without the query.
+  // Percent-decoded, without the query string.
   std::string path;
   std::map<std::string, std::string> parameters;
   std::string authorization;
   std::string if_match;
   std::string if_none_match;
-  // The operator's own id for a write, so that it can be sent again after a
-  // broken connection; may be empty.
+  // An id that the operator gave to a write, so that it can be repeated safely
+  // after a broken connection. May be empty.
   std::string write_id;
   std::string body;
 };
 
 struct Reply {
   int status = 200;
-  // Null if `text` is the answer.
+  // Null if the reply is `text`.
   Json body;
   std::string text;
 };
 
-// What the API needs of the daemon. Each function may be called from any
-// thread at any time.
+// The daemon's side of the API. Each function may be called from any thread at
+// any time.
 struct Ports {
   std::string token;
-  // Where this instance stands, for effective values.
+  // The data centre of this instance, the default scope of effective values.
   DataCentreId data_centre;
   platform::Calls calls;
-  // The view in force. While it is nullptr or not `known`, all that reads or
-  // writes objects is answered 503 not_ready: an instance that knows nothing
-  // can't say that something isn't there.
+  // The current view. While it is nullptr or not `loaded`, requests that read
+  // or write objects get 503 not_ready: without a loaded configuration, the
+  // absence of an object means nothing.
   std::function<std::shared_ptr<const settings::Configuration>()> configuration;
-  // An accepted write, to be applied and pushed to other instances at once.
+  // Called with an accepted write, to apply it and push it to other instances
+  // immediately.
   std::function<void(const settings::ConfigObject&)> on_accepted;
-  // Tells other instances that a backend server is to get no new work, or may
-  // again, without waiting for the platform.
+  // Tells other instances directly, without the platform, that a backend server
+  // is to get no new work, or may get work again.
   std::function<void(const BackendServerId&, bool draining)> announce_drain;
   std::function<Json()> status;
   std::function<std::string()> metrics;
-  // A new id, never given before by any instance.
+  // Returns a new id that is unique among all instances.
   std::function<std::string()> make_write_id;
-  // Waits a little between two tries at the platform.
+  // Sleeps for a short time between two attempts at the platform.
   std::function<void()> pause;
 };
 
 // 128 random bits in hexadecimal.
 std::string MakeWriteId();
 
-// Sleeps 50 to 150 ms.
+// Sleeps for 50 to 150 ms.
 void PauseBetweenTries();
 
-// Answers one request. Blocks for as long as the platform's calls do. Safe
-// from any thread.
+// Handles one request. Blocks for the duration of its platform calls.
+// Thread-safe.
 Reply Handle(const Ports& ports, const Request& request);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/include/hibiscuspick/operators/bearer_token.h
+++ b/packages/operators/include/hibiscuspick/operators/bearer_token.h
@@ -1,4 +1,4 @@
-// The operators' bearer token.
+// Verification of the operators' bearer token.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace hibiscuspick::operators {
 
-// Whether an Authorization header is "Bearer " and the token. Takes the same
-// time wherever the first difference is, so that answers' times don't spell
-// the token out letter by letter. False for an empty token.
+// Whether an Authorization header is "Bearer " followed by the token. The
+// comparison takes constant time, so that response times don't reveal a correct
+// prefix of the token. False for an empty token.
 bool IsAuthorized(std::string_view authorization, const std::string& token);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/include/hibiscuspick/operators/server.h
+++ b/packages/operators/include/hibiscuspick/operators/server.h
@@ -1,4 +1,4 @@
-// The operators' port: the API on an HTTP server.
+// Serves the operators' API on an HTTP server.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace hibiscuspick::operators {
 
-// Adds all paths of the API to a server that is not started yet.
+// Adds all paths of the API to a server that has not been started yet.
 void AddRoutes(http::Server* server, std::shared_ptr<const Ports> ports);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/api.cc
+++ b/packages/operators/src/api.cc
@@ -33,7 +33,7 @@
 
 Reply NotFoundReply() { return ErrorReply(kStatusNotFound, Code::kNotFound); }
 
-// The kind whose objects a path such as /v1/services lists.
+// The kind of objects that a path such as /v1/services lists.
 std::optional<ObjectKind> ListedKind(std::string_view path) {
   for (const ObjectKind it : kAllKinds) {
     if (path == std::string(kRoot) + std::string(KindFolder(it))) return it;
@@ -41,7 +41,7 @@
   return std::nullopt;
 }
 
-// A name of the query, falling back to the path's own node.
+// A name from the query string, or else from the path's own node.
 std::string ScopeName(const Request& request, const std::string& key,
                       const settings::TreePath& node, settings::Level level) {
   const auto it = request.parameters.find(key);
@@ -79,7 +79,7 @@
           ""};
 }
 
-// Names and versions of the objects that are there.
+// Names and versions of all objects that exist.
 Reply ListReply(const Configuration& configuration, ObjectKind kind) {
   const std::string prefix = std::string(KindFolder(kind)) + "/";
   Json list = Json::array();
@@ -123,10 +123,10 @@
   if (request.method == "PUT") return HandlePut(ports, request, name);
   if (request.method == "DELETE") return HandleDelete(ports, request, name);
   return ErrorReply(kStatusNotAllowed, Code::kMalformedRequest,
-                    "this method is not known here");
+                    "this method is not supported for this path");
 }
 
-// Paths that are only read.
+// Handles paths that can only be read.
 std::optional<Reply> HandleReadOnly(const Ports& ports,
                                     const Request& request) {
   const std::string& path = request.path;
--- a/packages/operators/src/ask.cc
+++ b/packages/operators/src/ask.cc
@@ -19,7 +19,7 @@
   return {kStatusOk, {{"outcome", outcome}}, ""};
 }
 
-// The version the write was conditional on; nothing for "none".
+// The version in the write's condition; nullopt for "none".
 Result<std::optional<Revision>> ReadExpected(const std::string& text) {
   if (text == "none") return std::optional<Revision>();
   uint64_t number = 0;
@@ -28,8 +28,9 @@
   if (ec == std::errc() && rest == end) {
     return std::optional<Revision>(Revision(number));
   }
-  return Error{Code::kMalformedRequest, "",
-               "expected must be the version the write named, or none"};
+  return Error{
+      Code::kMalformedRequest, "",
+      "expected must be the version in the write's condition, or none"};
 }
 
 Reply JudgedReply(const platform::Judgement& judged) {
@@ -46,8 +47,9 @@
     case platform::WriteVerdict::kUnknown:
       break;
   }
-  return ErrorReply(kStatusUnknown, Code::kAcceptanceUnknown,
-                    "too many writes came after it to tell");
+  return ErrorReply(
+      kStatusUnknown, Code::kAcceptanceUnknown,
+      "too many later writes have replaced the record of this write");
 }
 
 }  // namespace
@@ -57,8 +59,9 @@
   const std::string write_id = ParameterOf(request, "write_id");
   const auto expected = ReadExpected(ParameterOf(request, "expected"));
   if (write_id.empty() || !IsOk(expected)) {
-    return ErrorReply(kStatusBadRequest, Code::kMalformedRequest,
-                      "write_id and expected are needed, as the 504 gave them");
+    return ErrorReply(
+        kStatusBadRequest, Code::kMalformedRequest,
+        "write_id and expected are required, as given in the 504 reply");
   }
   const auto result = ports.calls.get(platform::kConfigKind, ToText(name));
   const bool found = IsOk(result);
--- a/packages/operators/src/ask.h
+++ b/packages/operators/src/ask.h
@@ -1,4 +1,4 @@
-// Asking again what became of a write.
+// Lookup of the outcome of an earlier write.
 #pragma once
 
 #include "hibiscuspick/operators/api.h"
@@ -6,8 +6,8 @@
 
 namespace hibiscuspick::operators {
 
-// GET /v1/writes/{kind}/{name}?write_id=…&expected=…: what became of a write
-// whose answer was 504. `expected` is the version it named, or "none".
+// GET /v1/writes/{kind}/{name}?write_id=…&expected=…: the outcome of a write
+// that got a 504. `expected` is the version in its condition, or "none".
 Reply HandleAsk(const Ports& ports, const Request& request,
                 const settings::ObjectName& name);
 
--- a/packages/operators/src/bearer_token.cc
+++ b/packages/operators/src/bearer_token.cc
@@ -5,7 +5,7 @@
 namespace hibiscuspick::operators {
 namespace {
 
-// Reads all of `given`, whatever it holds; only its own length shows in time.
+// Always reads all of `given`, so that the time depends only on its length.
 bool EqualInConstantTime(std::string_view given, const std::string& expected) {
   size_t difference = given.size() ^ expected.size();
   for (size_t i = 0; i < given.size(); ++i) {
--- a/packages/operators/src/drain_spread.cc
+++ b/packages/operators/src/drain_spread.cc
@@ -17,7 +17,8 @@
   const bool unstored =
       reply->status == kStatusUnavailable || reply->status == kStatusUnknown;
   if (write.value.is_null()) {
-    // A stored order to drain stays in force until it is deleted there.
+    // A stored order to drain stays in force until it is deleted on the
+    // platform.
     const bool stays = write.configuration->drains.contains(server);
     if (stays && reply->status != kStatusOk) return;
     write.ports.announce_drain(server, false);
--- a/packages/operators/src/drain_spread.h
+++ b/packages/operators/src/drain_spread.h
@@ -1,18 +1,19 @@
-// Orders to drain go to the other instances apart from being stored.
+// Announces orders to drain to other instances independently of storing them.
 #pragma once
 
 #include "write_reply.h"
 
 namespace hibiscuspick::operators {
 
-// Work has to stop going to a broken server at once, and also while the
-// platform is down: a silent platform alone would hold this for ten seconds.
-// To be called before the write.
+// Announces the order before the write is stored. Work must stop going to a
+// broken server at once, even while the platform is down: an unresponsive
+// platform alone would delay the order by ten seconds.
 void SpreadDrain(const Write& write);
 
-// Says in the reply that an order is only spread, which instances that start
-// later learn of no longer than others remember, and calls one back that isn't
-// in force. To be called after the write.
+// Called after the write. If the order was only announced and not stored, says
+// so in the reply: an instance that starts later learns of the order only as
+// long as other instances remember it. Withdraws an announced order that is not
+// in force.
 void ConcludeDrain(const Write& write, Reply* reply);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/precondition.cc
+++ b/packages/operators/src/precondition.cc
@@ -8,7 +8,7 @@
 namespace hibiscuspick::operators {
 namespace {
 
-// A version as `7` or, as HTTP writes entity tags, `"7"`.
+// A version as `7` or as an HTTP entity tag, `"7"`.
 std::optional<Revision> ParseVersion(std::string_view text) {
   if (text.size() >= 2 && text.front() == '"' && text.back() == '"') {
     text = text.substr(1, text.size() - 2);
@@ -31,11 +31,11 @@
   const bool match = !request.if_match.empty();
   const bool none_match = !request.if_none_match.empty();
   if (match && none_match) {
-    return Refusal("give If-Match or If-None-Match, not both");
+    return Refusal("send either If-Match or If-None-Match, not both");
   }
   if (none_match) {
     if (request.if_none_match == "*") return Precondition{};
-    return Refusal("If-None-Match may only be *");
+    return Refusal("If-None-Match must be *");
   }
   if (match) {
     const auto version = ParseVersion(request.if_match);
@@ -46,7 +46,7 @@
     return Precondition{PreconditionKind::kAny, {}};
   }
   return Refusal(
-      "a write needs If-Match with the version it replaces, or "
+      "a write requires If-Match with the version that it replaces, or "
       "If-None-Match: * for a new object");
 }
 
--- a/packages/operators/src/precondition.h
+++ b/packages/operators/src/precondition.h
@@ -1,5 +1,5 @@
-// The condition a write carries, so that two operators can't overwrite each
-// other unseen.
+// The precondition of a write, so that concurrent operators cannot overwrite
+// each other's changes unknowingly.
 #pragma once
 
 #include <optional>
@@ -13,9 +13,9 @@
 enum class PreconditionKind {
   // If-Match: the object has this version.
   kVersion,
-  // If-None-Match: *, there is no such object, or it is deleted.
+  // If-None-Match: *: the object doesn't exist or is deleted.
   kAbsent,
-  // None given; only for drains, which may not wait for a lookup.
+  // No precondition; allowed only for drains, which must not wait for a lookup.
   kAny,
 };
 
@@ -24,8 +24,8 @@
   Revision version;
 };
 
-// Reads the headers. Errors: kMalformedRequest if there is none where one is
-// needed, both, or one that can't be read.
+// Reads the precondition from the headers. Errors: kMalformedRequest if it is
+// missing where it is required, given twice or invalid.
 Result<Precondition> ReadPrecondition(const Request& request,
                                       settings::ObjectKind kind);
 
--- a/packages/operators/src/present.h
+++ b/packages/operators/src/present.h
@@ -1,4 +1,4 @@
-// An object as it is now, here or at the platform.
+// The current state of an object, at this instance or on the platform.
 #pragma once
 
 #include <optional>
@@ -13,8 +13,8 @@
 
 namespace hibiscuspick::operators {
 
-// Nothing at all if there never was one. A version without an envelope is a
-// value that something else wrote there.
+// Without a version, the object has never existed. A version without an
+// envelope is a value that was not written by an instance.
 struct Present {
   std::optional<Revision> version;
   std::optional<settings::Envelope> envelope;
@@ -24,11 +24,11 @@
 
 Present PresentOf(const platform::StoredObject& object);
 
-// What is in force at this instance.
+// The state in this instance's configuration.
 Present InForce(const settings::Configuration& configuration,
                 const std::string& path);
 
-// What the platform has. Errors: kPlatformUnavailable.
+// The state on the platform. Errors: kPlatformUnavailable.
 Result<Present> ReadPresent(const platform::Calls& calls,
                             const std::string& path);
 
--- a/packages/operators/src/reply.h
+++ b/packages/operators/src/reply.h
@@ -1,4 +1,4 @@
-// The API's replies, built in one place.
+// Builds the API's replies.
 #pragma once
 
 #include <string>
@@ -22,19 +22,20 @@
 inline constexpr int kStatusUnavailable = 503;
 inline constexpr int kStatusUnknown = 504;
 
-// {"error": {"code", "name", "message"}}; without a message, the code's own.
+// {"error": {"code", "name", "message"}}; the default message is the meaning of
+// the code.
 Reply ErrorReply(int status, Code code, std::string message = "");
 
 // [{"path", "message"}].
 Json FaultsJson(const std::vector<settings::Fault>& faults);
 
-// Whether the instance knows what is stored.
+// Whether the instance has loaded a configuration.
 bool IsKnown(const settings::Configuration* configuration);
 
-// 503 while it doesn't.
+// 503, for an instance that has not loaded a configuration yet.
 Reply NotReadyReply();
 
-// 422 with every fault.
+// 422 with all faults.
 Reply FaultsReply(const std::vector<settings::Fault>& faults);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/server.cc
+++ b/packages/operators/src/server.cc
@@ -37,8 +37,8 @@
   response->set_content(DumpJson(reply.body), kJsonType);
 }
 
-// The library's own refusals (a body over the limit, a head that can't be
-// read) get a body like all others.
+// The HTTP library's own rejections (a body over the limit, an invalid header)
+// get the same kind of body as all other errors.
 void FillError(httplib::Response* response) {
   if (!response->body.empty()) return;
   const int status = response->status;
--- a/packages/operators/src/write.cc
+++ b/packages/operators/src/write.cc
@@ -28,11 +28,12 @@
 using settings::ObjectKind;
 using settings::ObjectName;
 
-// Rounds of a drain without a precondition against racing writes.
+// The maximum number of attempts of a drain without a precondition when it
+// conflicts with other writes.
 constexpr int kMostRounds = 3;
 
-// An operator's own id is tied to the value and the condition, so that an id
-// used twice by mistake never answers for another write.
+// An operator's own id is bound to the value and the precondition, so that an
+// id reused by mistake never matches another write.
 std::string WriteIdOf(const Ports& ports, const Request& request,
                       const Json& value) {
   if (request.write_id.empty()) return ports.make_write_id();
@@ -40,8 +41,8 @@
   return request.write_id + "." + std::to_string(hash);
 }
 
-// Fits the stored form into the platform's limit, at the cost of the oldest
-// manifests; false if the value alone is too large.
+// Drops the oldest manifests until the stored form fits the platform's size
+// limit. Returns false if the value alone is too large.
 bool FitIntoLimit(Envelope* envelope) {
   while (DumpJson(ToJson(*envelope)).size() > settings::kMaxStoredBytes) {
     if (envelope->previous.empty()) return false;
@@ -50,8 +51,8 @@
   return true;
 }
 
-// A version that isn't above what is in force comes from a counter that was
-// set back: nobody will take it.
+// A version that is not above the newest revision in force comes from a counter
+// that was reset; other instances would reject it.
 bool WentBack(const Write& write, Revision version) {
   return version <= write.configuration->newest;
 }
@@ -63,7 +64,7 @@
       return NotAcceptedReply(write, "");
     case WriteOutcome::kUnknown:
       Log(Part::kConfig)
-          .warn("Write {} of {} has no known outcome.", write.write_id,
+          .warn("The outcome of write {} of {} is unknown.", write.write_id,
                 write.path);
       return UnknownReply(write, state.expected);
     case WriteOutcome::kConflict:
@@ -74,18 +75,21 @@
   }
   if (WentBack(write, state.version)) {
     Log(Part::kConfig)
-        .error("{} got version {}, below what is in force.", write.path,
-               state.version.value);
+        .error(
+            "The platform assigned {} version {}, which is not above the "
+            "newest revision in force.",
+            write.path, state.version.value);
     return WentBackReply(write, state.version);
   }
   Log(Part::kConfig)
-      .info("{} is accepted at version {}.", write.path, state.version.value);
+      .info("Write of {} accepted at version {}.", write.path,
+            state.version.value);
   write.ports.on_accepted({write.path, state.version, DumpJson(stored)});
   return AcceptedReply(write, state.version);
 }
 
-// Whether the platform has the object older than it is in force, or not at all
-// any more: only a restore does that.
+// Whether the platform has an older version of the object than the one in force
+// or doesn't have it any more, which only happens after a restore.
 bool PlatformIsOlder(const Write& write, const WriteState& state) {
   if (state.outcome != WriteOutcome::kConflict) return false;
   if (!state.present) return state.absent;
@@ -93,16 +97,16 @@
          InForce(*write.configuration, write.path).version.value_or(Revision());
 }
 
-// Writes over `present`, and once more over what a restored platform has in
-// its place: the operator named the version in force, so nothing of his is
-// overwritten unseen, and the platform gets back what it lost.
+// Replaces `current`. If a restored platform has an older version, replaces
+// that one in a second attempt: the operator named the version in force, so
+// nothing is overwritten unknowingly, and the platform's copy is repaired.
 Reply WriteOver(const Write& write, const Present& present) {
   Envelope next = NextEnvelope(
       present.envelope, present.version.value_or(Revision()), write.value,
       write.write_id, write.name.kind == ObjectKind::kSnapshot);
   if (!FitIntoLimit(&next)) {
     return ErrorReply(kStatusTooLarge, Code::kRequestTooLarge,
-                      "the stored value would be over 1 MB");
+                      "the stored value would exceed 1 MB");
   }
   const Json stored = ToJson(next);
   WriteState state;
@@ -120,8 +124,8 @@
   return Conclude(write, stored, state);
 }
 
-// Checks the value against the others and what it replaces; a reply if it may
-// not be written.
+// Validates the value against the other objects and the one that it replaces.
+// Returns a reply if the write is rejected.
 std::optional<Reply> Refuse(Write* write, const Present& present) {
   if (write->value.is_null()) {
     if (!present.exists()) {
@@ -137,8 +141,8 @@
   return std::nullopt;
 }
 
-// The version the write had if it took effect earlier: an operator whose
-// connection broke sends it again with the same id.
+// The version that the write produced if it took effect earlier: an operator
+// whose connection broke repeats it with the same id.
 std::optional<Revision> TakenEarlier(const Write& write,
                                      const Present& present) {
   if (!present.version || !present.envelope) return std::nullopt;
@@ -150,11 +154,11 @@
   return judged.version;
 }
 
-// What the write is to replace: as in force if that fits the precondition,
-// which saves a call and is proved by the conditional write; else as the
-// platform has it now. A restored platform may have it older than it is in
-// force; then what is in force counts, or an operator who knows only the old
-// value would overwrite the new one unseen.
+// The state that the write replaces. If the state in force matches the
+// precondition, it is used: that saves a call, and the conditional write
+// verifies it. Otherwise the platform is asked. If a restored platform has an
+// older version than the one in force, the latter counts, or an operator who
+// knows only the old value would overwrite the new one unknowingly.
 Result<Present> FindPresent(const Write& write) {
   const Present in_force = InForce(*write.configuration, write.path);
   const bool lost_drain = write.precondition.kind == PreconditionKind::kAny &&
@@ -179,8 +183,8 @@
   return WriteOver(*write, present);
 }
 
-// A drain without a precondition takes the version a conflict names and tries
-// again.
+// A drain without a precondition is retried with the version that the conflict
+// reported.
 Reply RunRounds(Write* write) {
   Reply reply = RunRound(write);
   if (write->precondition.kind != PreconditionKind::kAny) return reply;
@@ -193,9 +197,9 @@
   return reply;
 }
 
-// The view in force, waited for a few seconds: an instance that has just
-// started hears from the platform or a peer very soon, and an operator's script
-// that writes first thing need not fail for that.
+// The current view; waits for it for a few seconds. An instance that has just
+// started gets its configuration from the platform or a peer very soon, so an
+// operator's script that writes immediately need not fail.
 std::shared_ptr<const settings::Configuration> WaitUntilKnown(
     const Ports& ports) {
   constexpr int kMostWaits = 50;
@@ -217,7 +221,7 @@
   }
   if (!request.write_id.empty() && !settings::IsName(request.write_id)) {
     return ErrorReply(kStatusBadRequest, Code::kMalformedRequest,
-                      "X-Write-Id must be a name");
+                      "X-Write-Id must be a valid name");
   }
   auto configuration = WaitUntilKnown(ports);
   if (!IsKnown(configuration.get())) return NotReadyReply();
--- a/packages/operators/src/write.h
+++ b/packages/operators/src/write.h
@@ -1,5 +1,5 @@
-// PUT and DELETE of one object: check, write at the platform, settle what
-// became of it, tell the daemon.
+// PUT and DELETE of one object: validates the value, writes it to the platform,
+// determines the outcome and informs the daemon.
 #pragma once
 
 #include "hibiscuspick/operators/api.h"
--- a/packages/operators/src/write_reply.cc
+++ b/packages/operators/src/write_reply.cc
@@ -6,8 +6,8 @@
 
 Reply UnreadConflictReply() {
   return ErrorReply(kStatusConflict, Code::kVersionConflict,
-                    "not accepted: the object was changed; the platform does "
-                    "not answer what it is now");
+                    "not accepted: the object was changed, and its current "
+                    "value could not be read from the platform");
 }
 
 Reply ConflictReply(const Present& present) {
@@ -26,9 +26,9 @@
 }
 
 Reply NotAcceptedReply(const Write& write, const std::string& message) {
-  Reply reply =
-      ErrorReply(kStatusUnavailable, Code::kPlatformUnavailable,
-                 "not accepted: the platform did not take it. " + message);
+  Reply reply = ErrorReply(
+      kStatusUnavailable, Code::kPlatformUnavailable,
+      "not accepted: the platform did not accept the write. " + message);
   reply.body["write_id"] = write.write_id;
   return reply;
 }
@@ -45,9 +45,10 @@
 Reply WentBackReply(const Write& write, Revision version) {
   Reply reply = ErrorReply(
       kStatusUnavailable, Code::kPlatformWentBack,
-      "not accepted: the platform gave version " +
+      "not accepted: the platform assigned version " +
           std::to_string(version.value) +
-          ", below what is in force. It was restored from a backup; see "
+          ", which is not above the newest revision in force. It was restored "
+          "from a backup; see "
           "OPERATORS.md");
   reply.body["write_id"] = write.write_id;
   return reply;
--- a/packages/operators/src/write_reply.h
+++ b/packages/operators/src/write_reply.h
@@ -1,4 +1,4 @@
-// One write, and the replies it can end in.
+// A write request and its possible replies.
 #pragma once
 
 #include <memory>
@@ -14,12 +14,12 @@
 
 namespace hibiscuspick::operators {
 
-// One write through its whole course.
+// The state of one write request.
 struct Write {
   const Ports& ports;
   settings::ObjectName name;
   std::string path;
-  // Null deletes.
+  // Null for a deletion.
   Json value;
   Precondition precondition;
   std::string write_id;
@@ -31,15 +31,16 @@
 
 Reply ConflictReply(const Present& present);
 
-// The platform refused the write, and what it has instead couldn't be read.
+// The write conflicted, and the object that the platform has instead could not
+// be read.
 Reply UnreadConflictReply();
 
 Reply NotAcceptedReply(const Write& write, const std::string& message);
 
-// `expected` is what the write was conditional on.
+// `expected` is the version in the write's condition.
 Reply UnknownReply(const Write& write, std::optional<Revision> expected);
 
-// The value is stored, but in a version that other instances refuse.
+// The platform stored the value under a version that other instances reject.
 Reply WentBackReply(const Write& write, Revision version);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/tests/api_bench.h
+++ b/packages/operators/tests/api_bench.h
@@ -1,4 +1,4 @@
-// The operators' API of two instances over one fake platform.
+// The operators' API of instances that share one fake platform.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 inline constexpr char kToken[] = "the operators' token";
 
-// What an instance's control thread does for the API, at once and in place.
+// Does the work of an instance's control thread for the API, synchronously.
 class Instance {
  public:
   explicit Instance(platform::FakePlatform* platform) : platform_(platform) {
@@ -37,7 +37,7 @@
     Follow();
   }
 
-  // Takes over what the platform has, as a watch would.
+  // Loads the platform's content, as a watch would.
   void Follow() {
     settings::ConfigDelta delta{{}, Revision(platform_->counter), {}};
     for (const auto& [name, it] : platform_->objects) {
--- a/packages/operators/tests/api_test.cc
+++ b/packages/operators/tests/api_test.cc
@@ -117,9 +117,9 @@
   BOOST_TEST(reply.body["faults"][1]["path"] == "$.colour");
 }
 
-// Many operators change one value through several instances at the same time.
-// Each acceptance must stand for exactly one version, and the last one must be
-// the value in force, or somebody's accepted change was undone unseen.
+// Many operators change one value through several instances concurrently. Each
+// acceptance must stand for exactly one version, and the last one must be the
+// value in force; otherwise an accepted change was lost.
 BOOST_AUTO_TEST_CASE(racing_operators_never_overwrite_each_other_unseen) {
   constexpr int kOperators = 8;
   constexpr int kChanges = 20;
@@ -135,7 +135,7 @@
       std::string version = "1";
       Json value = Deadline(1);
       for (int n = 0; n < kChanges;) {
-        // Each adds one to what it last saw.
+        // Each increments the last value that it saw.
         const int next = value["deadline_ms"].get<int>() + 1;
         const auto reply =
             instance.Send("PUT", kSystem, Deadline(next), version);
@@ -173,8 +173,8 @@
   BOOST_TEST(ours.Send("PUT", kSystem, Deadline(3), "*").status == 409);
 }
 
-// The platform is down. The operator must be told that nothing was accepted,
-// and reading what is in force goes on.
+// The platform is down. The operator must be told that the write was not
+// accepted; reads of the configuration in force still work.
 BOOST_AUTO_TEST_CASE(with_the_platform_down_nothing_is_accepted) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -187,8 +187,8 @@
   BOOST_TEST(instance.Send("PUT", kSystem, Deadline(2), "9").status == 503);
 }
 
-// The reply to a write is lost and the platform goes silent. The operator gets
-// a write id and asks again by it when the platform is back.
+// The reply to a write is lost and the platform stops responding. The operator
+// gets a write id and looks up the outcome when the platform is back.
 BOOST_AUTO_TEST_CASE(an_unknown_write_can_be_asked_for_again) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -205,8 +205,8 @@
   BOOST_TEST(answer.body["version"] == 2);
 }
 
-// The same, but the write never arrived. As long as the object is unchanged it
-// still may; once another write came it can't, and the answer says so.
+// As above, but the write never arrived. While the object is unchanged it may
+// still arrive; after another write it can't, and the lookup must say so.
 BOOST_AUTO_TEST_CASE(a_write_that_never_arrived_is_told_apart) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -226,9 +226,9 @@
   BOOST_TEST(instance.Send("GET", ask).status == 504);
 }
 
-// An operator's connection breaks before the answer, and he sends the change
-// again under his own write id. It must not be refused as a conflict with
-// itself, nor count for another value or condition.
+// An operator's connection breaks before the reply, and the operator repeats
+// the change under the same write id. It must not be rejected as a conflict
+// with itself, nor match another value or precondition.
 BOOST_AUTO_TEST_CASE(a_write_sent_again_under_its_id_is_accepted_once) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -246,9 +246,9 @@
   BOOST_TEST(platform.puts == 2);
 }
 
-// The platform is restored from a backup. A write over what it has would get a
-// version that other instances refuse, so it is not called accepted; and what
-// is in force must not be overwritten by someone who saw only the old value.
+// The platform is restored from a backup. A write over its content would get a
+// version that other instances reject, so it must not be reported as accepted.
+// Nor may an operator who saw only the old value overwrite the one in force.
 BOOST_AUTO_TEST_CASE(a_restored_platform_gives_no_false_acceptance) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -269,16 +269,17 @@
   BOOST_TEST(early.status == 503);
   BOOST_TEST(early.body["error"]["name"] == "platform_went_back");
   BOOST_TEST(instance.Send("GET", kSystem).body["value"] == Deadline(6));
-  // The platform's counter was lifted past the old one, as the page advises.
+  // The platform's counter is raised past its old value, as docs/OPERATORS.md
+  // advises.
   platform.counter = 20;
   const auto repaired = instance.Send("PUT", kSystem, Deadline(50), "6");
   BOOST_TEST(repaired.status == 200);
   BOOST_TEST(repaired.body["version"] == 21);
 }
 
-// A snapshot grows until it and the two before it no longer fit one value of
-// the platform. The older ones give way; only a manifest too large by itself is
-// refused.
+// A snapshot grows until it and the two manifests before it exceed the
+// platform's size limit for one value. The older ones are dropped; only a
+// manifest that is too large by itself is rejected.
 BOOST_AUTO_TEST_CASE(earlier_manifests_give_way_to_size) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -325,8 +326,8 @@
   BOOST_TEST(deleted.body["warnings"].size() == 1);
 }
 
-// A script writes to an instance the moment it has started. The first answer
-// of the platform is then on its way; the write waits for it.
+// A script writes to an instance immediately after its start. The platform's
+// first answer is still on its way; the write waits for it.
 BOOST_AUTO_TEST_CASE(a_write_waits_for_an_instance_that_just_started) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -346,8 +347,8 @@
   BOOST_TEST(Handle(ports, request).status == 200);
 }
 
-// An instance that knows no configuration can't check a value or say what is
-// in force.
+// An instance without a configuration can neither validate a value nor say what
+// is in force.
 BOOST_AUTO_TEST_CASE(an_instance_without_configuration_says_so) {
   FakePlatform platform;
   Instance instance(&platform);
--- a/packages/operators/tests/drain_test.cc
+++ b/packages/operators/tests/drain_test.cc
@@ -32,8 +32,8 @@
              boost::test_tools::per_element());
 }
 
-// A server breaks while the platform is down too. Its operator's order must
-// still reach all instances, and the answer must not claim that it will last.
+// A server fails while the platform is down too. The order to drain it must
+// still reach all instances, and the reply must not claim that it is stored.
 BOOST_AUTO_TEST_CASE(with_the_platform_down_a_drain_is_spread_but_not_stored) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -45,7 +45,7 @@
   BOOST_TEST(reply.body["stored"] == false);
   BOOST_TEST(instance.announced == Announced{"+b1"},
              boost::test_tools::per_element());
-  // It can be called back as well, during the outage or after it.
+  // It can also be withdrawn, during the outage or after it.
   BOOST_TEST(instance.Send("DELETE", kDrain).status == 503);
   platform.failing_reads = 0;
   BOOST_TEST(instance.Send("DELETE", kDrain).status == 404);
@@ -53,8 +53,8 @@
              boost::test_tools::per_element());
 }
 
-// A stored drain stays in force while it can't be deleted: telling others that
-// the server is back would set them against the configuration.
+// A stored drain stays in force while it can't be deleted: announcing that the
+// server accepts work would contradict the configuration.
 BOOST_AUTO_TEST_CASE(a_stored_drain_is_not_called_back_without_the_platform) {
   FakePlatform platform;
   Instance instance(&platform);
@@ -66,7 +66,7 @@
 }
 
 // Two operators drain one server through two instances. Neither has a version
-// to name, and neither may be refused for the other's sake.
+// to name, and neither request may fail because of the other.
 BOOST_AUTO_TEST_CASE(racing_drains_both_succeed) {
   FakePlatform platform;
   Instance ours(&platform);
--- a/packages/operators/tests/server_test.cc
+++ b/packages/operators/tests/server_test.cc
@@ -21,7 +21,7 @@
   return std::string("Bearer ") + hp::operators::kToken;
 }
 
-// An instance's operators' port.
+// The operators' port of an instance.
 struct Port {
   hp::platform::FakePlatform platform;
   Instance instance{&platform};
@@ -32,7 +32,7 @@
               std::make_shared<hp::operators::Ports>(instance.ports()));
     BOOST_REQUIRE(IsOk(server.Start("127.0.0.1", 0)));
   }
-  // The status, or 0 if the connection was closed instead.
+  // Returns the status, or 0 if the connection was closed instead.
   int Send(httplib::Request request, std::string* body = nullptr) const {
     hp::http::Connection connection({"127.0.0.1", server.port()}, {});
     const auto result = connection.Send(std::move(request), kLong);
@@ -111,8 +111,8 @@
              "customer");
 }
 
-// Someone sends what no operator means to. The port must refuse it with a
-// status or by closing, and go on serving.
+// A client sends invalid requests. The port must reject them with a status or
+// by closing the connection, and keep serving.
 BOOST_AUTO_TEST_CASE(oversized_and_malformed_requests_are_refused) {
   const Port port;
   const auto put = [&](std::string body) {
