--- a/packages/records/include/hibiscuspick/records/bucket.h
+++ b/packages/records/include/hibiscuspick/records/bucket.h
@@ -1,5 +1,5 @@
-// A bucket of claims: one object at the platform that is never deleted and
-// only ever moves to later epochs.
+// A bucket of claims: an object on the platform that is never deleted and whose
+// epoch only increases.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 
 namespace hibiscuspick::records {
 
-// Where keys' claims lie. Every instance must use the same layout, and it can't
-// be changed under the same object kind: a key looked for in another bucket
-// than the one that holds its claim would run again. So none of this comes from
-// the settings tree.
+// The mapping of keys to buckets. Every instance must use the same layout, and
+// it can't be changed under the same object kind: if a key were looked up in
+// another bucket than the one that holds its claim, it would run again. The
+// layout is therefore not part of the settings tree.
 struct Layout {
   Millis slot{10.0 * 60 * 1000};
-  // A day, the slot being filled, and two for dates slightly ahead and clocks
-  // that differ.
+  // A day, the slot being filled, and two for dates slightly in the future and
+  // for clock skew.
   uint64_t ring_slots = 147;
   uint64_t buckets_per_slot = 64;
   uint64_t undated_buckets = 256;
@@ -29,41 +29,41 @@
 
 struct Rules {
   Layout layout;
-  // Keys dated longer ago are refused. More than the ring holds counts as what
-  // it holds. Instances may differ here while a change spreads.
+  // Keys with an older date are rejected. Limited to what the ring holds.
+  // Instances may have different values while a change propagates.
   Millis window{24.0 * 3600 * 1000};
-  // A key dated later than now by more than this is refused.
+  // A key dated further in the future than this is rejected.
   Millis max_ahead{60 * 1000};
   size_t max_key = 128;
-  // Serialised size at which a bucket takes no more claims, under the
-  // platform's limit of a megabyte so that outcomes still fit.
+  // The serialised size at which a bucket accepts no more claims. It is below
+  // the platform's limit of one megabyte so that outcomes still fit.
   size_t max_bucket_bytes = 600000;
-  // A longer result is not kept; a repeat then gets null.
+  // A longer result is not stored; a repeat of the record then gets null.
   size_t max_result = 2000;
 };
 
-// The longest window that the layout can hold.
+// The longest window that the layout supports.
 Millis LongestWindow(const Layout& layout);
 
-// Where a key's claim lives.
+// The location of a key's claim.
 struct Place {
   std::string bucket;
-  // The time slot of a dated key, 0 for undated ones.
+  // The time slot of a dated key; 0 for undated keys.
   uint64_t epoch = 0;
 };
 
-// The key's date in milliseconds since 1970: thirteen digits and a hyphen at
-// its start.
+// The date in the key, in milliseconds since 1970: thirteen digits and a hyphen
+// at its start.
 std::optional<Millis> DateOf(const std::string& key);
 
-// Errors: kMalformedRequest for a key that is empty, too long or has control
-// characters, kKeyTooOld, and kMalformedRequest for a date ahead of time.
+// Errors: kMalformedRequest for a key that is empty, too long, contains control
+// characters or is dated too far in the future; kKeyTooOld.
 Result<Place> PlaceOf(const Rules& rules, const std::string& service,
                       const std::string& key, Millis wall_now);
 
 enum class EntryState { kClaimed, kDone, kFailed };
 
-// One key's claim and, later, its outcome.
+// The claim of one key and, later, its outcome.
 struct Entry {
   std::string token;
   uint64_t body_hash = 0;
@@ -80,8 +80,8 @@
 // Errors: kBadReply.
 Result<BucketValue> BucketFromJson(const Json& json);
 
-// Changes of a bucket. Each may be applied any number of times: the token tells
-// a change that has already taken effect.
+// Changes of a bucket. They are idempotent: the token identifies a change that
+// has already been applied.
 struct Claim {
   std::string key;
   uint64_t epoch = 0;
@@ -95,7 +95,7 @@
   EntryState state = EntryState::kDone;
   std::string result;
 };
-// Gives a claim back that certainly was not and will not be dispatched.
+// Removes a claim whose record was certainly not dispatched and never will be.
 struct ReleaseClaim {
   std::string key;
   uint64_t epoch = 0;
@@ -104,26 +104,26 @@
 using Change = std::variant<Claim, StoreOutcome, ReleaseClaim>;
 
 enum class VerdictKind {
-  // The change is in the bucket.
+  // The bucket contains the change.
   kInForce,
-  // Another claim has the key; `entry` is what is known of it.
+  // Another claim holds the key; `entry` is its state.
   kTaken,
-  // The bucket is at a later epoch.
+  // The bucket has moved to a later epoch.
   kTooOld,
   kFull,
-  // The platform could not be asked, or not in time. The change may still come
-  // into force.
+  // The platform could not be reached, or not in time. The change may still
+  // take effect.
   kUnknown,
 };
 
 struct Verdict {
   VerdictKind kind = VerdictKind::kUnknown;
   Entry entry;
-  // Applying it altered the value.
+  // Whether applying the change altered the value.
   bool is_changed = false;
 };
 
-// Applies the change to the value, as far as its verdict allows.
+// Applies the change to the value if its verdict allows it.
 Verdict Apply(const Rules& rules, BucketValue* value, const Change& change);
 
 }  // namespace hibiscuspick::records
--- a/packages/records/include/hibiscuspick/records/committer.h
+++ b/packages/records/include/hibiscuspick/records/committer.h
@@ -1,5 +1,5 @@
-// Group commit of a bucket's changes as a pure machine: all changes that wait
-// go into one conditional write.
+// Group commit of a bucket's changes as a state machine without I/O: all
+// pending changes go into one conditional write.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,12 @@
 
 // Events.
 struct Submit {
-  // Below kReleaseBit, never used twice.
+  // Below kReleaseBit, never reused.
   uint64_t id = 0;
   Change change;
 };
-// The submitter waits no longer. A claim that may have been written is
-// released, since it may be in force without anyone to dispatch for it; an
-// outcome is still stored.
+// The submitter has stopped waiting. A claim that may have been written is
+// released, since nobody would dispatch its record; an outcome is still stored.
 struct GiveUp {
   uint64_t id = 0;
 };
@@ -37,7 +36,7 @@
 struct PutDone {
   Result<Revision> result;
 };
-// Time to try again to write what was left behind.
+// Time to retry the writes of changes without a submitter.
 struct Retry {};
 using CommitEvent = std::variant<Submit, GiveUp, GotBucket, PutDone, Retry>;
 
@@ -45,7 +44,7 @@
 struct ReadBucket {};
 struct WriteBucket {
   BucketValue value;
-  // None: the object must not exist yet.
+  // nullopt: the object must not exist yet.
   std::optional<Revision> expected;
 };
 struct Decided {
@@ -56,27 +55,27 @@
 
 inline constexpr uint64_t kReleaseBit = 1ULL << 63;
 
-// After so many failed calls in a row, submitters are told rather than kept
-// waiting.
+// After this many consecutive failed calls, submitters get a verdict instead of
+// waiting longer.
 inline constexpr uint32_t kMaxFailures = 3;
 
-// Changes kept without a submitter; past it the oldest are dropped, which
-// leaves outcomes unknown but runs nothing twice.
+// The maximum number of changes kept without a submitter. Beyond it the oldest
+// are dropped, which leaves outcomes unknown but runs no record twice.
 inline constexpr size_t kMaxOrphans = 1000;
 
 struct Waiting {
   Change change;
-  // Nobody waits for the verdict.
+  // No submitter waits for the verdict.
   bool is_orphan = false;
-  // Part of a write that was begun, so that it may be in force.
+  // Part of a write that was started, so it may have taken effect.
   bool is_written = false;
-  // The bucket was read or written since it was submitted: a verdict from an
-  // older copy could miss another instance's outcome.
+  // The bucket was read or written since the change was submitted. A verdict
+  // from an older copy could miss another instance's outcome.
   bool is_seen = false;
 };
 
-// A write whose reply was lost. Until the object is seen at another version, it
-// may still take effect.
+// A write whose reply was lost. It may still take effect until the object is
+// seen at another version.
 struct LostWrite {
   std::optional<Revision> expected;
 };
@@ -89,20 +88,21 @@
   std::optional<Revision> version;
   std::optional<LostWrite> lost;
   std::map<uint64_t, Waiting> waiting;
-  // A call at the platform is under way.
+  // A platform call is in flight.
   bool is_busy = false;
-  // The write under way: its value, and what it decides.
+  // The write in flight: its value, and the verdicts that depend on it.
   BucketValue written;
   std::optional<Revision> written_over;
   std::vector<Decided> on_success;
-  // Failed calls in a row.
+  // Consecutive failed calls.
   uint32_t failures = 0;
 };
 
-// Moves the commit on. While a call is under way no other is asked for.
+// Processes one event and returns the resulting actions. Starts no call while
+// another is in flight.
 std::vector<CommitAction> Step(Committer* it, const CommitEvent& event);
 
-// Nothing waits and nothing is under way.
+// Whether no change is pending and no call in flight.
 bool IsIdle(const Committer& it);
 
 }  // namespace hibiscuspick::records
--- a/packages/records/include/hibiscuspick/records/record_flow.h
+++ b/packages/records/include/hibiscuspick/records/record_flow.h
@@ -1,4 +1,4 @@
-// The steps of one record as pure decisions: claim, dispatch, outcome.
+// The steps of one record as pure functions: claim, dispatch, outcome.
 #pragma once
 
 #include <optional>
@@ -12,23 +12,24 @@
 
 namespace hibiscuspick::records {
 
-// What a caller asked for, checked.
+// A validated request of a caller.
 struct RecordRequest {
   std::string request_id;
   CustomerId customer;
   ServiceId service;
   ShardId shard;
   std::string key;
-  // JSON text as it goes to the backend server.
+  // JSON text as sent to the backend server.
   std::string record;
-  // From the arrival of the request.
+  // Measured from the arrival of the request.
   Millis deadline{1000};
 };
 
-// What became of handing the record to a backend server. kOk carries `result`
-// as JSON text; kRecordFailed means the server answered that it did not take
-// the record, which is as final as kOk. With Ran::kNo nothing was handed to a
-// socket. Everything else may have run, but for kShed and kConnectFailed.
+// The result of dispatching the record to a backend server. kOk carries
+// `result` as JSON text. kRecordFailed means that the server rejected the
+// record, which is as final as kOk. With Ran::kNo nothing was written to a
+// socket. With any other code except kShed and kConnectFailed the record may
+// have run.
 struct DispatchResult {
   Code code = Code::kOk;
   Ran ran = Ran::kMaybe;
@@ -43,28 +44,28 @@
   std::string message;
 };
 
-// The claim of a request and the bucket it goes to.
+// The claim of a request and its bucket.
 struct ClaimPlan {
   std::string bucket;
   Claim claim;
 };
 
-// Errors: see PlaceOf.
+// Errors: see LocateKey.
 Result<ClaimPlan> PlanClaim(const Rules& rules, const RecordRequest& request,
                             const std::string& token, Millis wall_now);
 
-// The answer to give on the claim's verdict; none if the record is to be
+// The answer for the claim's verdict; nullopt if the record is to be
 // dispatched.
 std::optional<RecordAnswer> AnswerToClaim(const Claim& claim,
                                           const Verdict& verdict);
 
-// The answer when the claim came into force too late to dispatch.
+// The answer if the claim took effect too late to dispatch the record.
 RecordAnswer AnswerTooLate();
 
 struct AfterDispatch {
   RecordAnswer answer;
-  // What to commit; none when the outcome is unknown, so that the claim stays
-  // and says so.
+  // The change to commit; nullopt if the outcome is unknown, so that the claim
+  // stays in place and records that.
   std::optional<Change> change;
 };
 AfterDispatch TakeDispatch(const Claim& claim, const DispatchResult& result);
--- a/packages/records/include/hibiscuspick/records/record_runner.h
+++ b/packages/records/include/hibiscuspick/records/record_runner.h
@@ -1,4 +1,5 @@
-// Runs records at most once: the threads' side, on the platform's calls.
+// Runs each record at most once: the threads and platform calls around the
+// state machine of committer.h.
 #pragma once
 
 #include <condition_variable>
@@ -22,37 +23,38 @@
 
 struct RecordPorts {
   platform::Calls platform;
-  // Sends the record once and never again by itself; `time_left` bounds it.
+  // Sends the record once, without retries, within `time_left`.
   std::function<DispatchResult(const RecordRequest& request, Millis time_left)>
       dispatch;
-  // Milliseconds since 1970, for the age of dated keys only. A wrong clock can
-  // refuse keys but never run one twice.
+  // Milliseconds since 1970, used only for the age of dated keys. A wrong clock
+  // can cause keys to be rejected but never to run twice.
   std::function<Millis()> wall_now = WallNow;
 };
 
 class RecordRunner {
  public:
-  // `token_prefix` names this life of this instance in the fleet
-  // ("osl-1-a.17"); every claim's token starts with it.
+  // `token_prefix` is unique to this incarnation of this instance in the fleet
+  // ("dc-1-a.17"); every claim's token starts with it.
   RecordRunner(std::string token_prefix, const Rules& rules, RecordPorts ports);
-  // Writes nothing more; unstored outcomes stay unknown. To be called after
-  // Flush when there is time.
+  // Stops writing; outcomes that are not stored stay unknown. Call Flush first
+  // if there is time.
   ~RecordRunner();
   RecordRunner(const RecordRunner&) = delete;
   RecordRunner& operator=(const RecordRunner&) = delete;
 
-  // Runs a record to its answer on the calling thread, which never waits on the
-  // platform itself and so is back by the deadline, or when dispatch is.
+  // Runs a record on the calling thread and returns its answer. The thread
+  // makes no platform calls itself, so it returns by the deadline or when
+  // dispatch does.
   RecordAnswer Run(const RecordRequest& request, Millis arrived);
 
-  // Sets how long keys are accepted; see Rules. From any thread.
+  // Sets how long keys are accepted; see Rules. Thread-safe.
   void SetWindow(Millis window);
 
-  // Waits until all outcomes are stored or `until`; true if they are. For a
-  // graceful stop.
+  // Waits until all outcomes are stored or `until` has passed; returns whether
+  // they are stored. Used in a graceful stop.
   bool Flush(Millis until);
 
-  // Buckets with changes not yet stored.
+  // The number of buckets with changes that are not stored yet.
   size_t unstored();
 
  private:
@@ -61,7 +63,7 @@
 
   std::shared_ptr<Bucket> BucketOf(const std::string& name);
   Verdict Commit(const std::string& name, const Change& change, Millis until);
-  // Hands a change over to be stored sometime.
+  // Submits a change to be stored in the background.
   void CommitLater(const std::string& name, const Change& change);
   void Advance(const std::shared_ptr<Bucket>& bucket, const CommitEvent& event);
   void Enqueue(const std::shared_ptr<Bucket>& bucket, CommitAction action,
--- a/packages/records/src/bucket.cc
+++ b/packages/records/src/bucket.cc
@@ -12,7 +12,7 @@
 
 constexpr size_t kDateDigits = 13;
 
-// What an entry takes beside its texts, generously.
+// The size of an entry in addition to its texts, an overestimate.
 constexpr size_t kEntryOverhead = 80;
 
 Error Malformed(const std::string& message) {
@@ -24,9 +24,9 @@
                      [](char c) { return c >= ' ' && c != 0x7f; });
 }
 
-// Slots that the ring has beyond its window: the one being filled, and two for
-// keys dated ahead and for clocks that differ, so that a slot's object is
-// reused only for dates whose predecessors there are out of the window.
+// Slots that the ring has in addition to its window: the one being filled, and
+// two for keys dated in the future and for clock skew. A slot's object is thus
+// reused only when its previous dates are out of the window.
 constexpr uint64_t kSpareSlots = 3;
 
 char StateLetter(EntryState state) {
@@ -48,7 +48,7 @@
   return std::nullopt;
 }
 
-// [token, body hash, state, result]; short, since a bucket holds thousands.
+// [token, body hash, state, result]; compact, since a bucket holds thousands.
 std::optional<Entry> EntryFromJson(const Json& json) {
   if (!json.is_array() || json.size() != 4 || !json[0].is_string() ||
       !json[1].is_number_unsigned() || !json[2].is_string() ||
@@ -137,7 +137,7 @@
     return Place{"undated-" + std::to_string(hash % layout.undated_buckets), 0};
   }
   if (*date > wall_now + rules.max_ahead) {
-    return Malformed("is dated ahead of time");
+    return Malformed("is dated too far in the future");
   }
   if (*date < wall_now - Min(rules.window, LongestWindow(layout))) {
     return Error{Code::kKeyTooOld, "$.key", ""};
@@ -159,7 +159,8 @@
 }
 
 Result<BucketValue> BucketFromJson(const Json& json) {
-  const Error bad{Code::kBadReply, "record", "a bucket that can't be read"};
+  const Error bad{Code::kBadReply, "record",
+                  "the bucket of claims has an invalid format"};
   if (!json.is_object() || !json.contains("epoch") ||
       !json["epoch"].is_number_unsigned() || !json.contains("entries") ||
       !json["entries"].is_object()) {
@@ -179,8 +180,9 @@
   const uint64_t epoch =
       std::visit([](const auto& it) { return it.epoch; }, change);
   if (epoch < value->epoch) return {VerdictKind::kTooOld, {}, false};
-  // The dates that this object held until now are out of the window. Only a
-  // claim moves it on: an outcome's claim is there already or was swept.
+  // The bucket's previous dates are out of the window. Only a claim advances
+  // the epoch: an outcome's claim is in the bucket already, or was removed by a
+  // later epoch.
   if (epoch > value->epoch) {
     if (!std::holds_alternative<Claim>(change)) {
       return {VerdictKind::kTaken, {}, false};
--- a/packages/records/src/committer.cc
+++ b/packages/records/src/committer.cc
@@ -35,12 +35,12 @@
   bool wants_read = false;
 };
 
-// Applies all waiting changes to a copy of the bucket. What alters it is
-// decided by the write: told before, a claim would be dispatched whose write
-// then fails, and the record would run again under another claim. A verdict
-// that rests on what another change of this round altered waits too: otherwise
-// a caller would be told that its key is in use by a claim that never came into
-// force.
+// Applies all pending changes to a copy of the bucket. A change that alters the
+// copy gets its verdict only after the write: if a claim were dispatched before
+// and the write failed, the record would run again under another claim. A
+// verdict that depends on what another change of this batch altered waits too:
+// otherwise a caller would be told that its key is in use by a claim that never
+// took effect.
 Round MakeRound(const Committer& it) {
   Round round;
   round.value = it.value;
@@ -76,7 +76,7 @@
   actions->emplace_back(WriteBucket{it->written, it->version});
 }
 
-// Starts the next call, if anything waits.
+// Starts the next call if any change is pending.
 void Begin(Committer* it, Actions* actions) {
   if (it->is_busy || it->waiting.empty()) return;
   if (!it->is_known) {
@@ -105,7 +105,7 @@
   }
 }
 
-// The submitter of `id` is gone or has been told that nothing is known.
+// The submitter of `id` has stopped waiting, or got the verdict kUnknown.
 void Abandon(Committer* it, uint64_t id) {
   const auto place = it->waiting.find(id);
   if (place == it->waiting.end()) return;
@@ -122,8 +122,8 @@
   DropOldOrphans(it);
 }
 
-// A call failed. Tells everybody once that has lasted, and then rests until the
-// next Submit or Retry.
+// Handles a failed call. After kMaxFailures consecutive ones, all submitters
+// get kUnknown, and no call is made until the next Submit or Retry.
 void Fail(Committer* it, Actions* actions) {
   it->is_known = false;
   ++it->failures;
@@ -146,7 +146,7 @@
   it->value = std::move(value);
   it->version = version;
   it->failures = 0;
-  // The lost write can't take effect any more once the version has moved.
+  // A lost write can no longer take effect once the version has changed.
   if (it->lost && it->lost->expected != version) it->lost.reset();
 }
 
@@ -188,7 +188,7 @@
   it->on_success.clear();
   const Code code = ErrorOf(event.result).code;
   if (code == Code::kPlatformConflict) {
-    // Not a failure of the platform: somebody else was first.
+    // Not a failure of the platform: another instance wrote first.
     it->is_known = false;
     Begin(it, actions);
     return;
--- a/packages/records/src/record_flow.cc
+++ b/packages/records/src/record_flow.cc
@@ -18,7 +18,7 @@
   return {Code::kOutcomeUnknown, Ran::kMaybe, "", Millis(0), ""};
 }
 
-// What an earlier request with the same key came to.
+// The outcome of an earlier request with the same key.
 RecordAnswer AnswerOfEntry(const Claim& claim, const Entry& entry) {
   if (entry.body_hash != claim.body_hash) {
     return Refuse(Code::kKeyInUse, "");
@@ -35,8 +35,8 @@
   return Unknown();
 }
 
-// Codes that say the record did not run although it may have reached a server's
-// address.
+// Whether the record did not run, even if a connection to a server was
+// attempted.
 bool IsNotRun(const DispatchResult& result) {
   return result.ran == Ran::kNo || result.code == Code::kShed ||
          result.code == Code::kConnectFailed;
@@ -51,7 +51,7 @@
   if (!IsOk(place)) return ErrorOf(place);
   ClaimPlan plan;
   plan.bucket = ValueOf(place).bucket;
-  // A service's name has no slash, so that two services' keys never meet.
+  // A service's name has no slash, so keys of different services are distinct.
   plan.claim.key = request.service.text + "/" + request.key;
   plan.claim.epoch = ValueOf(place).epoch;
   plan.claim.token = token;
@@ -74,14 +74,14 @@
     case VerdictKind::kUnknown:
       break;
   }
-  // The claim may come into force yet, but this request will not dispatch on
-  // it, and no other can.
+  // The claim may still take effect, but this request won't dispatch the
+  // record, and no other can.
   return Refuse(Code::kPlatformUnavailable, "", kRetryLater);
 }
 
 RecordAnswer AnswerTooLate() {
   return Refuse(Code::kDeadlineExceeded,
-                "the deadline passed before the record was handed over",
+                "the deadline passed before the record was dispatched",
                 kRetryLater);
 }
 
--- a/packages/records/src/record_runner.cc
+++ b/packages/records/src/record_runner.cc
@@ -8,23 +8,24 @@
 namespace hibiscuspick::records {
 namespace {
 
-// Calls at the platform under way at once. At 5 ms each this is some hundred
-// writes a second, as many as the platform takes from the whole fleet.
+// Concurrent platform calls. At 5 ms each, this allows several hundred writes a
+// second, as many as the platform accepts from the whole fleet.
 constexpr size_t kThreads = 4;
 
-// Cached buckets kept when nothing waits for them.
+// Cached buckets that are kept although they are idle.
 constexpr size_t kMaxIdleBuckets = 64;
 
-// The wait before another call after one has failed, for each failure in a row.
+// The delay before the next call, multiplied by the number of consecutive
+// failures.
 constexpr Millis kBackoff{20};
 
-// How often outcomes whose write failed are tried again.
+// The interval at which failed writes of outcomes are retried.
 constexpr Millis kRetryEvery{1000};
 
 }  // namespace
 
-// One bucket's committer and what it decided for waiting threads; all guarded
-// by the runner's mutex.
+// A bucket's committer and its verdicts for waiting threads. Guarded by the
+// runner's mutex.
 struct RecordRunner::Bucket {
   std::string name;
   Committer committer;
@@ -78,8 +79,8 @@
   const Verdict verdict = Commit(bucket, claim, until);
   if (const auto answer = AnswerToClaim(claim, verdict)) return *answer;
 
-  // The claim may have taken as long as it liked; a record that is handed over
-  // after its deadline would run with nobody waiting for it.
+  // The claim may have taken up the whole deadline. A record dispatched now
+  // would run although nobody waits for it.
   const Millis left = until - SteadyNow();
   if (left <= Millis(0)) {
     CommitLater(bucket, ReleaseClaim{claim.key, claim.epoch, claim.token});
@@ -88,11 +89,13 @@
   const DispatchResult result = ports_.dispatch(request, left);
   const AfterDispatch after = TakeDispatch(claim, result);
   Log(Part::kRecord)
-      .info("record {} of {} for shard {} ends {}, its attempt {}.",
-            request.request_id, request.service.text, request.shard.text,
-            CodeName(after.answer.code), CodeName(result.code));
-  // The answer does not wait for the outcome's write: a repeat that comes
-  // before it is told "may have run", which is true.
+      .info(
+          "Record {} of service {} for shard {} ended with {}, its attempt "
+          "with {}.",
+          request.request_id, request.service.text, request.shard.text,
+          CodeName(after.answer.code), CodeName(result.code));
+  // The answer doesn't wait until the outcome is stored. A repeat of the record
+  // that arrives before that is told "may have run", which is correct.
   if (after.change) CommitLater(bucket, *after.change);
   return after.answer;
 }
@@ -112,8 +115,8 @@
   auto bucket = place;
   for (auto it = buckets_.begin();
        it != buckets_.end() && buckets_.size() > kMaxIdleBuckets;) {
-    // A bucket in use elsewhere has a second owner besides the table. One with
-    // a lost write must stay: only it knows that the write may yet take effect.
+    // A bucket in use elsewhere has a second owner besides the map. One with a
+    // lost write must stay: only it knows that the write may still take effect.
     const bool is_dropped = it->second.use_count() == 1 &&
                             IsIdle(it->second->committer) &&
                             !it->second->committer.lost;
@@ -207,7 +210,7 @@
   if (!IsOk(object)) return ErrorOf(object);
   auto value = BucketFromJson(ValueOf(object).value);
   if (!IsOk(value)) {
-    Log(Part::kRecord).error("the bucket {} can't be read.", name);
+    Log(Part::kRecord).error("Bucket {} could not be parsed.", name);
     return ErrorOf(value);
   }
   return StoredBucket{ValueOf(object).version, std::move(ValueOf(value))};
--- a/packages/records/tests/bucket_test.cc
+++ b/packages/records/tests/bucket_test.cc
@@ -13,7 +13,7 @@
 struct KeyCase {
   std::string name;
   std::string key;
-  // kOk for a key that has a place.
+  // kOk for a key that has a location.
   Code code;
   bool dated;
 };
@@ -44,8 +44,8 @@
   }
 }
 
-// An operator sets a window longer than the ring. Obeyed, it would let a key
-// pass whose claim has been swept.
+// An operator sets a window longer than the ring. If it applied, a key would be
+// accepted although its claim has been removed.
 BOOST_AUTO_TEST_CASE(a_window_never_outlasts_the_ring) {
   Rules rules;
   rules.window = Millis(30.0 * 24 * 3600 * 1000);
@@ -76,8 +76,8 @@
     R"({"epoch":1,"entries":{"k":["t",1,"z",""]}})",
     R"({"epoch":1,"entries":{"k":["t",1,"c"]}})"};
 
-// Something else wrote to the object. Taken for empty, it would let every key
-// in it run again.
+// The object was overwritten with something else. If it counted as empty, every
+// key in it would run again.
 BOOST_DATA_TEST_CASE(a_bucket_that_can_not_be_read_is_an_error,
                      data::make(kBadBuckets), text) {
   auto json = ParseJson(text);
--- a/packages/records/tests/record_faults_test.cc
+++ b/packages/records/tests/record_faults_test.cc
@@ -1,5 +1,4 @@
-// Records under faults: whatever happens, a key runs at most once and "not run"
-// is true.
+// Records under faults: a key runs at most once, and "not run" is always true.
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
 
@@ -101,10 +100,10 @@
   }
 }
 
-// Three instances take the same few keys in again and again while replies are
-// lost before, after and long before their writes take effect, the platform
-// refuses calls, instances pause, are replaced, and buckets are reused. A key
-// that ran twice would be a claim recorded twice.
+// Three instances receive the same few keys repeatedly. Replies are lost before
+// the write takes effect, after it or long before it; the platform rejects
+// calls; instances pause and are replaced; and buckets are reused. A key that
+// ran twice would be a claim recorded twice.
 BOOST_DATA_TEST_CASE(no_key_ever_runs_twice, data::xrange(60), seed) {
   RecordWorld world(static_cast<uint64_t>(seed) + 1);
   for (int n = 0; n < 5000; ++n) TakeRandomStep(&world);
@@ -114,7 +113,7 @@
     ran += count;
   }
   BOOST_TEST(world.broken_promises == 0);
-  // The faults must not simply have stopped everything.
+  // Some records must have run despite the faults.
   BOOST_TEST(ran > 10);
   BOOST_TEST(world.done > 3);
 }
@@ -125,9 +124,9 @@
   return out << static_cast<int>(it);
 }
 
-// The write of a claim fails in one of the ways that the platform has. The
-// instance finds out by reading back and, where it must, writing again; the
-// record runs once.
+// The write of a claim fails in each way that the platform can fail. The
+// instance determines the outcome by reading back and, if necessary, writing
+// again; the record runs once.
 BOOST_DATA_TEST_CASE(a_fault_at_the_claim_is_settled, data::make(kWriteFaults),
                      fault) {
   RecordWorld world(1);
@@ -144,8 +143,8 @@
   }
   world.Dispatch(it, n, {Code::kOk, Ran::kMaybe, "1"}, true);
   world.Settle();
-  // The same key at another instance gets the stored outcome, with another body
-  // a conflict.
+  // The same key at another instance gets the stored outcome; with another body
+  // it gets a conflict.
   RecordInstance* other = &world.instances[1];
   const size_t again = world.Start(other, "k1", "y");
   const size_t changed = world.Start(other, "k1", "x");
@@ -155,8 +154,8 @@
   BOOST_TEST((other->running[changed].answer->code == Code::kKeyInUse));
 }
 
-// The outcome's write fails. A repeat meanwhile is told that it may have run;
-// once the write has been tried again it gets the outcome.
+// The write of the outcome fails. A repeat in the meantime is told that the
+// record may have run; once the write has been retried it gets the outcome.
 BOOST_DATA_TEST_CASE(a_fault_at_the_outcome_is_settled,
                      data::make(kWriteFaults), fault) {
   RecordWorld world(1);
@@ -178,8 +177,8 @@
   BOOST_TEST((other->running[late].answer->code == Code::kOk));
 }
 
-// The platform is down from the start. The request is refused as not run after
-// a few tries rather than held until its deadline.
+// The platform is down from the start. The request is rejected as not run after
+// a few attempts instead of waiting until its deadline.
 BOOST_AUTO_TEST_CASE(without_the_platform_records_are_refused) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
@@ -195,8 +194,8 @@
 }
 
 // Two requests with one key and different bodies wait for the same write, and
-// the platform goes away. Neither is told that the key is in use, since it is
-// not.
+// the platform goes down. Neither may be told that the key is in use, since no
+// claim was written.
 BOOST_AUTO_TEST_CASE(a_claim_that_is_not_written_yet_takes_no_key) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
@@ -212,9 +211,9 @@
   }
 }
 
-// The reply to a claim is lost and the caller's deadline passes before anyone
-// knows. The claim is given back, so that the caller's next try with the same
-// key can run.
+// The reply to a claim is lost, and the caller's deadline passes before the
+// outcome is known. The claim is released, so that the caller's next attempt
+// with the same key can run.
 BOOST_AUTO_TEST_CASE(a_claim_that_nobody_will_use_is_given_back) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
@@ -231,8 +230,8 @@
   BOOST_TEST(world.instances[1].running[again].may_dispatch);
 }
 
-// Two instances get the same key at the same moment. One wins; the other says
-// that it may have run.
+// Two instances get the same key simultaneously. One dispatches the record; the
+// other answers that it may have run.
 BOOST_AUTO_TEST_CASE(of_two_instances_one_dispatches) {
   RecordWorld world(1);
   RecordInstance* a = &world.instances[0];
@@ -249,9 +248,9 @@
   BOOST_TEST((a->running[0].answer->code == Code::kOutcomeUnknown));
 }
 
-// An instance reads a bucket and is paused for so long that the bucket is
-// reused for a later time. When it wakes, its write has a stale version, and
-// the key that was swept meanwhile is refused instead of run again.
+// An instance reads a bucket and pauses until the bucket has been reused for a
+// later epoch. When it resumes, its write has a stale version, and the key,
+// whose claim was removed in the meantime, is rejected instead of run again.
 BOOST_AUTO_TEST_CASE(a_sleeper_can_not_revive_a_swept_key) {
   RecordWorld world(1);
   RecordInstance* sleeper = &world.instances[0];
@@ -265,7 +264,7 @@
   while (!other->calls.empty()) world.Call(other, bucket, Fault::kNone);
   world.Dispatch(other, 0, {Code::kOk, Ran::kMaybe, "1"}, true);
   while (!other->calls.empty()) world.Call(other, bucket, Fault::kNone);
-  // The same object serves the slot six slots later.
+  // The same object is reused six slots later.
   world.wall += Millis(6000);
   const std::string new_key =
       std::to_string(static_cast<uint64_t>(world.wall.count)) + "-k";
@@ -278,8 +277,8 @@
   BOOST_TEST((sleeper->running[0].answer->ran == Ran::kNo));
 }
 
-// Many requests wait while one write is under way. They share the next write,
-// since the platform takes only some hundred a second.
+// Many requests wait while one write is in flight. They share the next write,
+// since the platform accepts only a few hundred a second.
 BOOST_AUTO_TEST_CASE(claims_that_wait_share_one_write) {
   RecordWorld world(1);
   world.rules.layout.undated_buckets = 1;
--- a/packages/records/tests/record_runner_test.cc
+++ b/packages/records/tests/record_runner_test.cc
@@ -6,10 +6,10 @@
 
 namespace hibiscuspick::records {
 
-// Long enough for any machine; only a hang lasts so long.
+// Long enough for any machine; exceeded only if a call hangs.
 constexpr Millis kHang{60000};
 
-// The platform's record objects, in memory; can be told to hang or refuse.
+// The platform's record objects in memory; can hang or reject calls.
 class MemoryPlatform {
  public:
   platform::Calls MakeCalls() {
@@ -80,8 +80,8 @@
   return ports;
 }
 
-// A caller gets no answer in time and tries the same keys at another instance,
-// all at once. Each key still runs once.
+// A caller gets no answer in time and sends the same keys to another instance
+// concurrently. Each key still runs once.
 BOOST_AUTO_TEST_CASE(keys_sent_to_two_instances_at_once_run_once) {
   MemoryPlatform platform;
   std::atomic<int> dispatched{0};
@@ -111,8 +111,8 @@
   BOOST_TEST(dispatched == 25);
 }
 
-// The platform takes calls and answers none. The caller is refused by its
-// deadline and not held for as long as the platform hangs.
+// The platform accepts calls but never answers. The caller is rejected by its
+// deadline instead of being blocked for as long as the platform hangs.
 BOOST_AUTO_TEST_CASE(a_hanging_platform_holds_no_caller) {
   MemoryPlatform platform;
   std::atomic<int> dispatched{0};
@@ -127,7 +127,7 @@
   BOOST_TEST(dispatched == 0);
 }
 
-// The platform goes away between the claim and the outcome. The outcome is
+// The platform goes down between the claim and the outcome. The outcome is
 // stored when it is back, before a graceful stop ends.
 BOOST_AUTO_TEST_CASE(outcomes_are_stored_after_an_outage) {
   MemoryPlatform platform;
@@ -148,8 +148,8 @@
   BOOST_TEST(answer.result == "7");
 }
 
-// The claim comes into force only after the caller's deadline. The record is
-// not handed over any more, and its key stays free for the next try.
+// The claim takes effect only after the caller's deadline. The record is not
+// dispatched, and its key stays free for the next attempt.
 BOOST_AUTO_TEST_CASE(a_late_claim_is_not_dispatched) {
   MemoryPlatform platform;
   std::atomic<int> dispatched{0};
--- a/packages/records/tests/record_world.h
+++ b/packages/records/tests/record_world.h
@@ -1,5 +1,5 @@
-// A small platform with faults and some instances that run records on it, all
-// driven step by step from a seed.
+// A simulated platform with faults and several instances that run records on
+// it, all driven step by step by a seeded random generator.
 #pragma once
 
 #include <map>
@@ -63,7 +63,7 @@
   Random random;
   // Writes whose reply was lost and that may take effect later.
   std::vector<std::pair<std::string, WriteBucket>> delayed;
-  // By service and key: how often it ran, and with which result.
+  // By service and key: how often the record ran, and its result.
   std::map<std::string, int> executed;
   std::map<std::string, std::string> results;
   int done = 0;
@@ -110,7 +110,7 @@
     if (executed[key] != 1 || results[key] != answer.result) ++broken_promises;
   }
 
-  // Starts a record; gives its place among the instance's.
+  // Starts a record; returns its index among the instance's records.
   size_t Start(RecordInstance* it, const std::string& key,
                const std::string& body) {
     RunningRecord record;
@@ -174,8 +174,9 @@
 
   enum class Fault { kNone, kRefused, kLostAfter, kLostBefore, kLostDelayed };
 
-  // Makes the instance's call for the bucket, with a fault. The name is a copy,
-  // since callers pass the key of the call that is erased here.
+  // Performs the instance's call for the bucket, with a fault. The name is
+  // passed by value, since callers pass the key of the call that is erased
+  // here.
   void Call(RecordInstance* it, std::string bucket, Fault fault) {
     const CommitAction action = it->calls.at(bucket);
     it->calls.erase(bucket);
@@ -196,7 +197,7 @@
     Advance(it, bucket, PutDone{put});
   }
 
-  // Calls until nothing is left to call, without faults.
+  // Performs all outstanding calls without faults.
   void Settle() {
     for (auto& it : instances) {
       while (!it.calls.empty())
