--- a/packages/inner/include/hibiscuspick/inner/message.h
+++ b/packages/inner/include/hibiscuspick/inner/message.h
@@ -1,4 +1,4 @@
-// What instances say to each other, as plain values.
+// The messages between instances as plain values.
 #pragma once
 
 #include <variant>
@@ -10,19 +10,19 @@
 
 namespace hibiscuspick::inner {
 
-// Raised by a change that older instances can't live with.
+// Increased by a change that is incompatible with older instances.
 inline constexpr int kProtocolVersion = 1;
-// The oldest version that is still understood.
+// The oldest version that is still supported.
 inline constexpr int kOldestProtocolVersion = 1;
 
-// Some of a part's outcomes; each shard's comes once.
+// Outcomes of some of a part's shards; each shard's outcome is sent once.
 struct PartOutcomes {
   Incarnation incarnation;
   PartId part;
   std::vector<limits::ShardOutcome> outcomes;
 };
 
-// The origin no longer wants the part.
+// The origin no longer needs the part.
 struct PartCancel {
   limits::PartOrigin origin;
 };
@@ -31,7 +31,8 @@
     std::variant<limits::PartRequest, PartOutcomes, PartCancel,
                  membership::Digest, membership::News, settings::ConfigDelta>;
 
-// Whether it belongs to a query; the rest is control and waits behind it.
+// Whether the message belongs to a query. All others are control messages,
+// which are sent after traffic.
 bool IsTraffic(const Message& message);
 
 Message ToMessage(membership::GossipMessage message);
--- a/packages/inner/include/hibiscuspick/inner/peer_mesh.h
+++ b/packages/inner/include/hibiscuspick/inner/peer_mesh.h
@@ -1,8 +1,8 @@
-// The connections between instances: one listener, and one outgoing
-// connection to each peer that is sent to.
+// The connections between instances: one listener, and one outgoing connection
+// to each peer that messages are sent to.
 //
-// Every message is one-way. A part's outcomes come back as messages on the
-// connection that the other side opens, to the address that its hello gave.
+// Every message is one-way. A part's outcomes return as messages on a
+// connection that the other side opens, to the address in this side's hello.
 #pragma once
 
 #include <cstddef>
@@ -24,20 +24,20 @@
 struct MeshLimits {
   Millis connect_timeout{1000};
   Millis write_timeout{1000};
-  // A connection over which nothing came for this long is closed.
+  // A connection that has been idle for this long is closed.
   Millis idle_timeout{60000};
-  // From a connection's start to a good hello.
+  // The time from a connection's start to a valid hello.
   Millis hello_timeout{3000};
-  // After a failed connect, messages to the peer fail at once for this long.
+  // After a failed connect, messages to the peer are rejected for this long.
   Millis retry_after{200};
   size_t max_frame = 4 << 20;
   size_t max_connections = 2048;
-  // Connections at once that have not said hello.
+  // Concurrent connections without a valid hello.
   size_t max_strangers = 64;
-  // Messages waiting for one peer.
+  // Queue limits for each peer, in messages.
   size_t queued_traffic = 4096;
   size_t queued_control = 64;
-  // Bytes that one deliver holds, about; the rest goes in the next.
+  // Approximate size of a batch, which is sent in one deliver call.
   size_t batch_bytes = 256 << 10;
 };
 
@@ -45,31 +45,32 @@
   InstanceId self;
   DataCentreId data_centre;
   Incarnation incarnation;
-  // The shared secret of all instances.
+  // The secret shared by all instances.
   std::string key;
-  // Port 0 takes any free one.
+  // Port 0 takes any free port.
   Address listen;
   MeshLimits limits;
 };
 
 struct MeshCallbacks {
-  // From a reading thread of the sender's connection, in order. Must not
-  // block: the sender's next messages wait behind it.
+  // Called for each received message, in order, on the thread that reads the
+  // sender's connection. Must not block, since that delays the sender's next
+  // messages.
   std::function<void(const InstanceId& from, Message message)> on_message;
-  // Messages for the peer were lost, or another process answers at its
-  // address, or it hung up and may have lost what it had taken. From the
-  // connection's writing thread; may call Send.
+  // Called when messages to the peer were lost, when another process answers at
+  // its address, or when it closed the connection and may have lost messages.
+  // Runs on the connection's writing thread; may call Send.
   std::function<void(const InstanceId& peer)> on_peer_failed;
 };
 
-// Counters since start.
+// Counters since the start.
 struct MeshCounts {
   uint64_t messages_sent = 0;
   uint64_t frames_sent = 0;
   uint64_t messages_received = 0;
   uint64_t messages_dropped = 0;
   uint64_t refused_connections = 0;
-  // Payload of frames.
+  // Payload bytes of frames.
   uint64_t bytes_sent = 0;
   uint64_t bytes_received = 0;
 };
@@ -84,27 +85,26 @@
   // Binds and listens. Errors: kConnectFailed if the address can't be bound.
   Result<Done> Start();
 
-  // Closes all connections and joins all threads; what is queued is dropped.
+  // Closes all connections and joins all threads; queued messages are dropped.
   void Stop();
 
-  // The address in use, after Start.
+  // The listening address; valid after Start.
   Address address() const;
 
-  // The members of the newest view. Addresses of members go before those
-  // learnt from hello.
+  // Sets the members of the newest view. A member's address takes precedence
+  // over one learned from its hello.
   void SetPeers(const std::vector<membership::Peer>& peers);
 
-  // After membership::AdoptIncarnation: for all later hellos.
+  // Sets the incarnation for later hellos, after membership::AdoptIncarnation.
   void SetIncarnation(Incarnation incarnation);
 
-  // Queues the message for the peer; returns at once. False if the peer's
-  // address is not known, the queue is full, or the peer could not be
-  // connected to a moment ago: then nothing of it was sent, and the caller is
-  // told by this alone. A message that was queued may still be lost, which
-  // on_peer_failed tells.
+  // Queues the message for the peer and returns immediately. Returns false if
+  // the peer's address is unknown, the queue is full, or a connect to the peer
+  // has just failed. Then nothing was sent, and on_peer_failed isn't called for
+  // it. A queued message can still be lost, which on_peer_failed reports.
   bool Send(const InstanceId& to, Message message);
 
-  // The same, with the address given; an empty id takes whoever answers there.
+  // As above, with the address given; an empty id accepts any instance there.
   bool Send(const membership::Peer& to, Message message);
 
   MeshCounts counts() const;
--- a/packages/inner/include/hibiscuspick/inner/wire.h
+++ b/packages/inner/include/hibiscuspick/inner/wire.h
@@ -1,4 +1,4 @@
-// Between plain values and the generated Thrift structs.
+// Conversion between plain values and the generated Thrift structs.
 #pragma once
 
 #include <cstddef>
@@ -13,14 +13,14 @@
 
 namespace hibiscuspick::inner {
 
-// `waited` is how long a part lay in the queue: it is taken off its time left.
+// `waited` is the time that a part was queued; it reduces the part's time left.
 wire::Message ToWire(const Message& message, Millis waited = Millis(0));
 
-// Nothing for a message of a kind that this version does not know, or whose
-// values make no sense (an address that is none).
+// Returns nullopt for a message of an unknown kind or with invalid values, such
+// as a malformed address.
 std::optional<Message> FromWire(const wire::Message& message);
 
-// Bytes of the message in a frame, by encoding it.
+// The encoded size of the message in bytes; encodes it.
 size_t WireSize(const Message& message);
 
 }  // namespace hibiscuspick::inner
--- a/packages/inner/inner.thrift
+++ b/packages/inner/inner.thrift
@@ -1,18 +1,18 @@
-// The protocol between instances. Fields are only ever added, with new numbers
-// and as optional; a change that older instances can't live with raises
+// The protocol between instances. Fields are only added, as optional fields
+// with new numbers; a change that is incompatible with older instances raises
 // kProtocolVersion. Generated code is in gen/ (see scripts/generate).
 
 namespace cpp hibiscuspick.inner.wire
 
-// First call on every connection.
+// The first call on every connection.
 struct Hello {
   1: i32 protocol_version
   2: string key
   3: string instance
   4: i64 incarnation
   5: string data_centre
-  // Where the caller listens itself, so that it can be answered before the
-  // membership has spread.
+  // The caller's own listening address, so that it can be reached before
+  // membership has propagated.
   6: optional string inner_address
 }
 
@@ -21,7 +21,7 @@
   2: i32 protocol_version
   3: string instance
   4: i64 incarnation
-  // A numbered result code when not accepted.
+  // The numbered result code if not accepted.
   5: i32 code
 }
 
@@ -60,7 +60,7 @@
   6: list<i64> held
 }
 
-// Some of a part's outcomes; each shard's comes once.
+// Outcomes of some of a part's shards; each shard's outcome is sent once.
 struct PartOutcomes {
   1: i64 incarnation
   2: i64 part
@@ -73,36 +73,36 @@
   3: i64 part
 }
 
-// What one instance knows of one other. Of two states of an instance the one
+// What one instance knows about another. Of two states of an instance the one
 // with the higher (incarnation, refutations, phase) wins.
 struct MemberState {
   1: string instance
   2: string data_centre
   3: string inner_address
   4: i64 incarnation
-  // Rises each second; carried inside a data centre only, 0 elsewhere.
+  // Incremented each second; sent only within a data centre, 0 elsewhere.
   5: i64 heartbeat
   // 0 starting, 1 serving, 2 leaving, 3 gone.
   6: i32 phase
-  // How often this life has contradicted a report that it was gone.
+  // How often this incarnation has refuted a report that it was gone.
   7: i32 refutations
 }
 
-// What is known of a backend server's willingness to take work. The higher
-// (round, incarnation, draining) wins; a drain without incarnation is above all.
+// Whether a backend server is draining. The higher (round, incarnation,
+// draining) wins; a drain without an incarnation takes precedence over all.
 struct ServerNews {
   1: string server
   2: i64 incarnation
   3: bool draining
-  // Raised by an operator's word that the server takes work again although its
-  // incarnation has not risen.
+  // Incremented by an operator's statement that the server accepts work again
+  // although its incarnation has not changed.
   4: i64 round
 }
 
 struct ConfigObject {
   1: string name
   2: i64 version
-  // JSON text as stored at the platform.
+  // JSON text as stored on the platform.
   3: string value
 }
 
@@ -113,16 +113,16 @@
   3: list<ConfigObject> objects
 }
 
-// How long ago anything was heard from a data centre; ages, since clocks of two
-// machines are never compared.
+// Time since the last contact with a data centre. Sent as an age, since clocks
+// of different machines are not comparable.
 struct DataCentreAge {
   1: string data_centre
   2: double age_ms
 }
 
-// Hashes of what the sender knows, sent each second to a few peers. The
-// receiver sends what is newer with it and, if a reply is wanted, its own
-// digest of what differs.
+// Hashes of the sender's state, sent each second to a few peers. The receiver
+// answers with its newer entries and, if a reply is wanted, with its own digest
+// of the differences.
 struct Digest {
   1: i64 config_complete_to
   2: i64 config_hash
@@ -133,25 +133,26 @@
   // Empty, or one hash for each bucket of instances and of backend servers.
   6: list<i32> member_buckets
   7: list<i32> server_buckets
-  // Heartbeats of the sender's data centre: hashes of the member's name and
-  // life, and the beat of each.
+  // Heartbeats of the sender's data centre: hashes of each member's name and
+  // incarnation, and its heartbeat.
   8: list<i64> heartbeat_keys
   9: list<i32> heartbeats
   10: list<DataCentreAge> data_centres
-  // How long ago the platform confirmed that config_complete_to is the newest,
-  // to the sender or to whoever told it. Absent if nobody has.
+  // Time since the platform confirmed that config_complete_to is the newest
+  // revision, to the sender or to its source. Absent if it never did.
   11: optional double config_age_ms
 }
 
-// Entries themselves: a change on its way, or the answer to a digest.
+// The entries themselves: a new change, or the answer to a digest.
 struct News {
   1: list<MemberState> members
   2: list<ServerNews> servers
-  // A change: whoever hears it first passes it on. Not so for a repair.
+  // For a new change: the receiver forwards it if it didn't know it. False for
+  // the answer to a digest.
   3: bool pass_on
 }
 
-// Exactly one field is set; a message with none that is known is passed over.
+// Exactly one field is set; a message without a known field is ignored.
 union Message {
   1: PartRequest part
   2: PartOutcomes outcomes
@@ -164,7 +165,7 @@
 service Inner {
   HelloReply hello(1: Hello hello)
 
-  // Messages in order. Nothing comes back on this connection: replies are
-  // messages on the connection of the other direction.
+  // Messages in order. Nothing is returned on this connection: replies are
+  // messages on the connection in the other direction.
   oneway void deliver(1: list<Message> messages)
 }
--- a/packages/inner/src/descriptor.h
+++ b/packages/inner/src/descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor of our own for a socket that Thrift owns.
+// A duplicated file descriptor for a socket that Thrift owns.
 #pragma once
 
 #include <sys/socket.h>
@@ -8,9 +8,9 @@
 
 namespace hibiscuspick::inner {
 
-// A duplicate keeps its number until it is closed here. Using Thrift's number
-// from another thread could hit a stranger's socket that got the same number
-// after Thrift closed its own.
+// The duplicate stays valid until it is closed here. Using Thrift's own
+// descriptor from another thread could affect an unrelated socket that got the
+// same number after Thrift closed its own.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -28,7 +28,7 @@
 
   int get() const { return fd_; }
 
-  // Ends the connection for both sides; a thread blocked on it returns.
+  // Shuts down both directions; a thread blocked on the connection returns.
   void Shutdown() const {
     if (fd_ >= 0) ::shutdown(fd_, SHUT_RDWR);
   }
--- a/packages/inner/src/framed.cc
+++ b/packages/inner/src/framed.cc
@@ -23,7 +23,7 @@
 using apache::thrift::transport::TTransport;
 
 constexpr int kMaxNesting = 16;
-// Thrift's own default, which has no definition to link to.
+// Equal to Thrift's own default, which has no definition to link to.
 constexpr int kMaxMessage = 100 << 20;
 
 class CountingFramed : public TFramedTransport {
@@ -41,9 +41,9 @@
 
  protected:
   bool readFrame() override {
-    // Thrift counts what is read against its limit for one message and, in
-    // version 0.17, never starts anew: a connection would break after 100 MB
-    // in all, which looks like a peer that crashes every few minutes.
+    // In version 0.17, Thrift counts all bytes read against its limit for one
+    // message and never resets the count. A connection would break after 100 MB
+    // in total, which looks like a peer that crashes every few minutes.
     resetConsumedMessageSize();
     if (!TFramedTransport::readFrame()) return false;
     *bytes_.received += static_cast<uint64_t>(rBound_ - rBase_);
@@ -54,11 +54,11 @@
   const ByteCounts bytes_;
 };
 
-// Thrift 0.17 makes its enum of types from whatever byte a frame has, and
-// reading an enum beyond its range is undefined: a damaged frame could take
-// any path through the decoder, which the undefined behaviour sanitizer shows.
-// So the byte is looked at first and an unknown type refused, which ends the
-// connection. The look costs one call for each field and list.
+// Thrift 0.17 converts any byte of a frame to its enum of types. An enum value
+// out of range is undefined behaviour, so a damaged frame could take any path
+// through the decoder (the undefined behaviour sanitizer detects this). The
+// byte is therefore checked first, and an unknown type is rejected, which ends
+// the connection. The check costs one call for each field and list.
 class CheckedProtocol
     : public TVirtualProtocol<CheckedProtocol, TBinaryProtocol> {
  public:
@@ -91,19 +91,20 @@
   }
 
  private:
-  // The next `n` bytes are types. A frame that ends before them is damaged as
-  // well: Thrift would go on in the next one, whose bytes were not looked at.
+  // Checks that the next `n` bytes are valid types. A frame that ends before
+  // them is rejected too: Thrift would continue in the next frame, whose bytes
+  // were not checked.
   void CheckTypes(uint32_t n) {
     uint32_t available = n;
     const uint8_t* next = trans_->borrow(nullptr, &available);
     if (next == nullptr) {
       throw TProtocolException(TProtocolException::INVALID_DATA,
-                               "frame too short");
+                               "frame is too short");
     }
     for (uint32_t i = 0; i < n; ++i) {
       if (next[i] <= apache::thrift::protocol::T_UTF16) continue;
       throw TProtocolException(TProtocolException::INVALID_DATA,
-                               "unknown type");
+                               "unknown Thrift type");
     }
   }
 };
--- a/packages/inner/src/framed.h
+++ b/packages/inner/src/framed.h
@@ -1,4 +1,4 @@
-// Thrift's framed binary protocol with our limits.
+// Thrift's framed binary protocol with size limits and checks.
 #pragma once
 
 #include <thrift/protocol/TProtocol.h>
@@ -11,20 +11,20 @@
 
 namespace hibiscuspick::inner {
 
-// Where to count the bytes of frames.
+// Counters for the bytes of frames.
 struct ByteCounts {
   std::atomic<uint64_t>* sent;
   std::atomic<uint64_t>* received;
 };
 
-// A frame over `max_frame` ends the connection before
-// any of it is kept.
+// A frame larger than `max_frame` ends the connection before any of it is
+// buffered.
 std::shared_ptr<apache::thrift::transport::TTransport> MakeFramed(
     std::shared_ptr<apache::thrift::transport::TTransport> inner,
     size_t max_frame, const ByteCounts& bytes);
 
-// Strings and lists that claim to be longer than a frame can be are refused
-// before memory is taken for them.
+// Strings and lists whose declared length exceeds a frame are rejected before
+// memory is allocated for them.
 std::shared_ptr<apache::thrift::protocol::TProtocolFactory> MakeProtocolFactory(
     size_t max_frame);
 
--- a/packages/inner/src/hangup_watch.cc
+++ b/packages/inner/src/hangup_watch.cc
@@ -29,7 +29,7 @@
 
 void HangupWatch::Wake() {
   const uint64_t one = 1;
-  // Full means that a wake-up is waiting already.
+  // EAGAIN means that a wake-up is pending already.
   [[maybe_unused]] const auto n = ::write(wake_, &one, sizeof one);
 }
 
@@ -63,9 +63,9 @@
         numbers.push_back(number);
       }
     }
-    // A descriptor that is closed meanwhile may have its number reused. That
-    // costs at most one needless round: what is called is looked up by number
-    // below, and Add wakes this thread.
+    // The number of a descriptor that is closed in the meantime may be reused.
+    // That costs at most one spurious iteration: the callback is looked up by
+    // entry number below, and Add wakes this thread.
     ::poll(polled.data(), polled.size(), -1);
     uint64_t drained = 0;
     [[maybe_unused]] const auto n = ::read(wake_, &drained, sizeof drained);
--- a/packages/inner/src/hangup_watch.h
+++ b/packages/inner/src/hangup_watch.h
@@ -1,4 +1,4 @@
-// Notices at once that the other side of an idle connection is gone.
+// Detects immediately when the peer closes an idle connection.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace hibiscuspick::inner {
 
-// One thread that waits on all outgoing connections. A crashed peer would
-// otherwise be noticed only by the next message to it, and parts that it had
-// already taken would wait for their deadline.
+// One thread that polls all outgoing connections. Without it, a crashed peer
+// would be detected only by the next message to it, and parts that it had
+// already received would wait for their deadline.
 class HangupWatch {
  public:
   HangupWatch() = default;
@@ -24,10 +24,10 @@
   void Start();
   void Stop();
 
-  // Calls `on_hangup` once, from the watch's thread and holding its lock, when
-  // the other side closes. Gives a number to remove it by.
+  // Calls `on_hangup` once when the other side closes the connection, on the
+  // watch's thread while it holds its lock. Returns a number for Remove.
   uint64_t Add(int fd, std::function<void()> on_hangup);
-  // Afterwards `on_hangup` is not running and will not be called.
+  // After the return `on_hangup` is not running and will not be called.
   void Remove(uint64_t number);
 
  private:
--- a/packages/inner/src/identity.h
+++ b/packages/inner/src/identity.h
@@ -1,4 +1,4 @@
-// What the mesh says of itself in every hello, shared by its threads.
+// The mesh's data for every hello and its counters, shared by its threads.
 #pragma once
 
 #include <atomic>
@@ -18,7 +18,7 @@
   std::atomic<uint64_t> incarnation{0};
 };
 
-// Counters behind MeshCounts.
+// The counters that MeshCounts reports.
 struct Counters {
   std::atomic<uint64_t> messages_sent{0};
   std::atomic<uint64_t> frames_sent{0};
@@ -29,9 +29,9 @@
   std::atomic<uint64_t> bytes_received{0};
 };
 
-// Compares without stopping at the first difference, so that the time taken
-// does not tell a stranger how much of its guess was right. Costs nothing that
-// matters: it runs once for each connection.
+// Compares in constant time, so that the time doesn't reveal to an
+// unauthenticated client how much of its guess was correct. It runs only once
+// for each connection.
 bool SameKey(std::string_view a, std::string_view b);
 
 }  // namespace hibiscuspick::inner
--- a/packages/inner/src/link.cc
+++ b/packages/inner/src/link.cc
@@ -16,8 +16,8 @@
 
 int ToInt(Millis it) { return static_cast<int>(it.count); }
 
-// Half of what the other side allows, so that it is always this side that
-// closes an idle connection; the other way round it would look like a crash.
+// Half of the other side's idle timeout, so that this side always closes an
+// idle connection; if the other side did, it would look like a crash.
 Millis IdleOf(const MeshLimits& limits) { return limits.idle_timeout * 0.5; }
 
 }  // namespace
@@ -90,8 +90,8 @@
     queue->pop_front();
   };
   while (!traffic_.empty() && bytes < limits_.batch_bytes) take(&traffic_);
-  // Control goes last but always has one in each batch: under steady traffic
-  // the peers would otherwise take this instance for dead.
+  // Control messages go last, but every batch includes one: under sustained
+  // traffic the peers would otherwise consider this instance dead.
   if (!control_.empty()) take(&control_);
   while (!control_.empty() && bytes < limits_.batch_bytes) take(&control_);
 }
@@ -109,7 +109,7 @@
   try {
     if (socket_) socket_->close();
   } catch (const TException&) {
-    // It is closed either way.
+    // The socket is closed in either case.
   }
   socket_.reset();
   const std::lock_guard lock(mutex_);
@@ -132,7 +132,7 @@
     return SayHello(socket_->getSocketFD());
   } catch (const TException& ex) {
     Log(Part::kMembers)
-        .debug("No connection to {}: {}.", ToText(address_), ex.what());
+        .debug("Could not connect to {}: {}.", ToText(address_), ex.what());
     return false;
   }
 }
@@ -150,9 +150,10 @@
   const bool understood = reply.protocol_version >= kOldestProtocolVersion;
   if (!reply.accepted || !understood) {
     Log(Part::kMembers)
-        .warn("Refused by {}: {} (its version {}, ours {}).", ToText(address_),
-              CodeName(static_cast<Code>(reply.code)), reply.protocol_version,
-              kProtocolVersion);
+        .warn(
+            "Connection rejected by {}: {} (its protocol version {}, ours {}).",
+            ToText(address_), CodeName(static_cast<Code>(reply.code)),
+            reply.protocol_version, kProtocolVersion);
     return false;
   }
   peer_.id = InstanceId(reply.instance);
@@ -168,7 +169,7 @@
     const bool other = it.to.id != peer_.id;
     const bool other_life =
         it.to.incarnation.value != 0 && it.to.incarnation != peer_.incarnation;
-    // Gossip may well reach a new life of the same instance.
+    // Gossip may reach a new incarnation of the same instance.
     const bool wrong = other || (other_life && IsTraffic(it.message));
     if (wrong) failed.insert(it.to.id);
     return wrong;
@@ -185,8 +186,8 @@
     hung_up = hung_up_;
   }
   if (hung_up) {
-    // What was sent before may be lost, so the peer is reported although the
-    // batch goes out on a new connection.
+    // Messages sent before may be lost, so the peer is reported as failed
+    // although this batch is sent on a new connection.
     Report({peer_.id});
     Disconnect();
     if (batch.empty()) return;
@@ -207,7 +208,7 @@
     client_->deliver(messages);
   } catch (const TException& ex) {
     Log(Part::kMembers)
-        .debug("Lost the connection to {}: {}.", ToText(address_), ex.what());
+        .debug("Connection to {} lost: {}.", ToText(address_), ex.what());
     FailAll(std::move(batch));
     return;
   }
--- a/packages/inner/src/link.h
+++ b/packages/inner/src/link.h
@@ -1,4 +1,4 @@
-// The outgoing connection to one address, with its queue and its thread.
+// The outgoing connection to one address, with its queues and its thread.
 #pragma once
 
 #include <thrift/transport/TSocket.h>
@@ -21,9 +21,9 @@
 
 namespace hibiscuspick::inner {
 
-// The thread sends all that is queued in one deliver, so that messages are
-// batched just when there is much to send. It ends after a while without work;
-// the mesh then makes a new link for the next message.
+// The thread sends all queued messages in one deliver call, so batches grow
+// with the load. It ends after an idle period; the mesh then creates a new link
+// for the next message.
 class Link {
  public:
   Link(const Address& address, const MeshLimits& limits, Identity* identity,
@@ -34,12 +34,12 @@
 
   enum class Offered { kQueued, kRefused, kEnded };
 
-  // Takes a message for the peer. kRefused: the queue is full or the last
-  // connect failed a moment ago. kEnded: the link's thread is done.
+  // Queues a message for the peer. kRejected: the queue is full, or the last
+  // connect has just failed. kEnded: the link's thread has ended.
   Offered Offer(const membership::Peer& to, Message message);
 
   bool ended() const { return ended_; }
-  // Tells the thread to end; the destructor waits for it.
+  // Tells the thread to end; the destructor joins it.
   void BeginStop();
 
  private:
@@ -51,14 +51,14 @@
   using Items = std::vector<Item>;
 
   void Run();
-  // False if the link is to end.
+  // Returns false if the link is to end.
   bool WaitForWork(Items* batch);
   void TakeBatch(Items* batch);
   void Deliver(Items batch);
   bool Connect();
   bool SayHello(int fd);
   void Disconnect();
-  // Takes out what was meant for another process than the one that answers.
+  // Removes messages for a process other than the connected one.
   void DropMisaddressed(Items* batch);
   void FailAll(Items batch);
   void Report(const std::set<InstanceId>& peers);
@@ -71,10 +71,10 @@
   const MeshCallbacks* const callbacks_;
   HangupWatch* const watch_;
 
-  // Of the thread only.
+  // Used only by the thread.
   std::shared_ptr<apache::thrift::transport::TSocket> socket_;
   std::unique_ptr<wire::InnerClient> client_;
-  // Who said hello at the other end.
+  // The identity in the peer's hello reply.
   membership::Peer peer_;
   uint64_t watch_number_ = 0;
 
--- a/packages/inner/src/listener.cc
+++ b/packages/inner/src/listener.cc
@@ -24,7 +24,7 @@
 
 int ToInt(Millis it) { return static_cast<int>(it.count); }
 
-// A session for each connection.
+// Creates a session for each connection.
 class SessionFactory : public TProcessorFactory {
  public:
   explicit SessionFactory(const Session::Context& context)
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-// Told by Thrift when the socket listens.
+// Called by Thrift once the socket is listening.
 class Listener::Starter : public apache::thrift::server::TServerEventHandler {
  public:
   Starter(Listener* listener, std::shared_ptr<TServerSocket> socket)
--- a/packages/inner/src/listener.h
+++ b/packages/inner/src/listener.h
@@ -1,5 +1,5 @@
-// The listening side of the mesh: a thread for each connection, on Thrift's
-// threaded server.
+// The listening side of the mesh, one thread for each connection, based on
+// Thrift's threaded server.
 #pragma once
 
 #include <thrift/server/TThreadedServer.h>
@@ -20,7 +20,7 @@
 
 class Listener {
  public:
-  // `on_hello` hears each peer that was let in and where it listens itself.
+  // Called with each accepted peer and its own listening address.
   using OnHello =
       std::function<void(const InstanceId&, Incarnation, const Address&)>;
 
@@ -28,7 +28,7 @@
            const MeshCallbacks* callbacks, OnHello on_hello);
   ~Listener();
 
-  // Binds; gives the port in use.
+  // Starts to listen and returns the port in use.
   Result<uint16_t> Start(const Address& address);
   void Stop();
 
--- a/packages/inner/src/peer_mesh.cc
+++ b/packages/inner/src/peer_mesh.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Thrift prints to standard error of its own accord.
+// Thrift would print to standard error otherwise.
 void LogThrift(const char* text) { Log(Part::kMembers).debug("{}", text); }
 
 }  // namespace
@@ -67,7 +67,7 @@
     const std::lock_guard lock(mutex_);
     peers_.clear();
     for (const auto& it : peers) peers_[it.id] = it;
-    // Who is a member now needs no hello to be found; the rest is bounded.
+    // A current member's address needs no hello; the rest is bounded.
     std::erase_if(learnt_, [&](const auto& it) {
       const auto known = peers_.find(it.first);
       return known != peers_.end() &&
@@ -122,8 +122,8 @@
  private:
   static constexpr size_t kMostLearnt = 4096;
 
-  // Where the peer's latest known life listens: from the members, or from a
-  // hello if that was of a later life.
+  // The address of the peer's latest known incarnation: from the member list,
+  // or from a hello of a later incarnation.
   membership::Peer Resolve(const membership::Peer& to) const {
     if (to.address.port != 0 || to.id.empty()) return to;
     auto latest = to;
--- a/packages/inner/src/session.cc
+++ b/packages/inner/src/session.cc
@@ -27,7 +27,7 @@
   if (hello.protocol_version < kOldestProtocolVersion) {
     return Code::kPeerVersion;
   }
-  // Our own address from a seed list, or a second process with our id.
+  // The instance's own address in a seed list, or a second process with its id.
   const bool named =
       !hello.instance.empty() && hello.instance != context_.identity->self.text;
   return named ? Code::kOk : Code::kPeerRefused;
@@ -47,15 +47,18 @@
 
 void Session::Refuse(const wire::Hello& hello, Code code) {
   ++context_.counters->refused_connections;
-  // Its own address among the seeds; a second process with this id has another
-  // incarnation, and the operator should know.
+  // An instance that finds its own address among the seeds is not reported. A
+  // second process with this id has another incarnation, and the operator
+  // should know of it.
   const auto own = static_cast<int64_t>(context_.identity->incarnation.load());
   const bool itself = hello.instance == context_.identity->self.text &&
                       hello.incarnation == own;
   if (itself) return;
   Log(Part::kMembers)
-      .warn("A connection was refused: {} (its version {}, ours {}).",
-            CodeName(code), hello.protocol_version, kProtocolVersion);
+      .warn(
+          "Incoming connection rejected: {} (its protocol version {}, ours "
+          "{}).",
+          CodeName(code), hello.protocol_version, kProtocolVersion);
 }
 
 void Session::hello(wire::HelloReply& reply, const wire::Hello& hello) {
@@ -68,7 +71,7 @@
   } else {
     Refuse(hello, code);
   }
-  // Who listens here is told to those with the key only.
+  // The instance's identity is revealed only to peers with the right key.
   if (code == Code::kPeerRefused) return;
   reply.instance = context_.identity->self.text;
   reply.incarnation = static_cast<int64_t>(context_.identity->incarnation);
--- a/packages/inner/src/session.h
+++ b/packages/inner/src/session.h
@@ -13,8 +13,8 @@
 
 namespace hibiscuspick::inner {
 
-// Hears nothing but hello until one with the right key and a supported version
-// has come; whoever delivers before is cut off.
+// Accepts only hello until one with the right key and a supported version has
+// arrived. A connection that calls deliver before that is closed.
 class Session : public wire::InnerIf {
  public:
   struct Context {
--- a/packages/inner/src/size.h
+++ b/packages/inner/src/size.h
@@ -1,4 +1,4 @@
-// How large a message is, without encoding it.
+// Estimates the size of a message without encoding it.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,8 @@
 
 namespace hibiscuspick::inner {
 
-// Bytes on the wire, within a few per cent and rather more than fewer for
-// messages that are large; only used to keep frames under their limit.
+// The approximate size in bytes on the wire: within a few per cent, and for
+// large messages an overestimate. Used only to keep frames under their limit.
 size_t ApproximateSize(const Message& message);
 
 }  // namespace hibiscuspick::inner
--- a/packages/inner/src/strangers.h
+++ b/packages/inner/src/strangers.h
@@ -1,4 +1,4 @@
-// Connections that have not said hello yet.
+// Incoming connections that have not sent a valid hello yet.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,18 @@
 
 namespace hibiscuspick::inner {
 
-// Bounds how many there are and for how long. A stranger that sends a byte now
-// and then keeps every timeout of a single read from firing; without this, a
-// few thousand such connections would use up the threads that peers need.
+// Limits their number and their lifetime. A client that sends a byte now and
+// then never triggers the timeout of a single read; without this limit, a few
+// thousand such connections would use up the threads that peers need.
 class Strangers {
  public:
   Strangers(size_t most, Millis longest);
 
-  // Takes in a new connection and ends those that are over their time, or this
-  // one if there are too many. Gives a number to leave by.
+  // Adds a new connection, and closes those that have exceeded their time, or
+  // this one if there are too many. Returns a number for Remove.
   uint64_t Enter(int fd);
 
-  // After a good hello, or at the connection's end.
+  // Called after a valid hello, or when the connection ends.
   void Leave(uint64_t number);
 
  private:
--- a/packages/inner/src/wire.cc
+++ b/packages/inner/src/wire.cc
@@ -14,7 +14,7 @@
 namespace hibiscuspick::inner {
 namespace {
 
-// Thrift has signed numbers only; the bits are kept.
+// Thrift has only signed integers; the bits are preserved.
 int64_t Signed(uint64_t n) { return static_cast<int64_t>(n); }
 uint64_t Unsigned(int64_t n) { return static_cast<uint64_t>(n); }
 int32_t Signed32(uint32_t n) { return static_cast<int32_t>(n); }
@@ -61,7 +61,7 @@
   limits::ShardOutcome result;
   result.shard = ShardId(outcome.shard);
   result.code = static_cast<Code>(outcome.code);
-  // Anything but a plain "no" is "maybe": "no" is a promise.
+  // Anything but an explicit "no" means "maybe", since "no" is a guarantee.
   const bool said_no = outcome.__isset.may_have_run && !outcome.may_have_run;
   result.ran = said_no ? Ran::kNo : Ran::kMaybe;
   result.attempts = Unsigned32(outcome.attempts);
@@ -99,7 +99,7 @@
   result.origin.part = PartId(Unsigned(part.part));
   result.customer = CustomerId(part.customer);
   result.route = RouteId(part.route);
-  // A lane of a newer version is treated as the least urgent one.
+  // An unknown lane of a newer version is treated as the least urgent one.
   const bool known =
       part.lane >= 0 && static_cast<size_t>(part.lane) < kLaneCount;
   result.lane = known ? static_cast<Lane>(part.lane) : Lane::kBulk;
@@ -273,7 +273,7 @@
 
 membership::News Decode(const wire::News& news) {
   membership::News result;
-  // One entry that makes no sense here does not keep the others away.
+  // An invalid entry doesn't affect the others.
   for (const auto& it : news.members) {
     auto state = Decode(it);
     if (state) result.members.push_back(std::move(*state));
@@ -312,7 +312,7 @@
   return result;
 }
 
-// Sets the union's field of the message's kind.
+// Sets the union field for the kind of the message.
 struct Setter {
   wire::Message* message;
   Millis waited;
--- a/packages/inner/tests/fuzz_test.cc
+++ b/packages/inner/tests/fuzz_test.cc
@@ -30,8 +30,8 @@
 constexpr size_t kMaxFrame = 1 << 16;
 constexpr std::string_view kEmptyFrame("\x00\x00\x00\x00", 4);
 
-// Type bytes with field numbers, lengths that are negative or huge, and a
-// frame's own length.
+// Type bytes with field numbers, negative and huge lengths, and a frame's own
+// length.
 constexpr std::string_view kTokens[] = {
     std::string_view("\x0f\x00\x01\x0c", 4),
     std::string_view("\x0b\x00\x01", 3),
@@ -65,12 +65,11 @@
   return buffer->getBufferAsString();
 }
 
-// Nothing where Thrift refuses the frame, which ends a connection. Anything
-// but its own exceptions goes on to the test.
+// Returns nullopt if Thrift rejects the frame, which ends a connection. Any
+// exception that isn't Thrift's own fails the test.
 std::optional<wire::Message> Decode(const std::string& frame) {
-  // A socket has nothing to give for nothing or for an empty frame and ends the
-  // connection; the memory buffer would copy no bytes from or to a null pointer
-  // instead.
+  // For no bytes or an empty frame, a socket ends the connection; the memory
+  // buffer would copy zero bytes from or to a null pointer instead.
   if (frame.empty() || frame.starts_with(kEmptyFrame)) return std::nullopt;
   const auto buffer = std::make_shared<TMemoryBuffer>();
   buffer->resetBuffer(static_cast<uint32_t>(frame.size()));
@@ -148,10 +147,10 @@
 
 }  // namespace
 
-// A frame is damaged, or comes from a release that errs. An instance that
-// ended on it would take its queries along, and gossip would carry the same
-// frame to the next; one that passed on something else than it read would
-// spread a state that nobody has.
+// A frame is damaged or comes from a faulty release. An instance that crashed
+// on it would lose its queries, and gossip would carry the same frame to the
+// next one. One that forwarded something other than it decoded would spread a
+// state that no instance has.
 BOOST_DATA_TEST_CASE(damaged_frames_are_refused_or_passed_on_unchanged,
                      data::make(kRows), row) {
   Random random(4);
--- a/packages/inner/tests/mesh_fixture.h
+++ b/packages/inner/tests/mesh_fixture.h
@@ -1,4 +1,4 @@
-// Meshes on loopback, and an inbox to wait on.
+// Meshes on loopback, and an inbox to wait for messages.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace hibiscuspick::inner::testing {
 
-// Far above anything that happens; only a hang gets here.
+// Far above any expected duration; reached only if a test hangs.
 inline constexpr std::chrono::seconds kHang{30};
 
 class Inbox {
@@ -30,7 +30,7 @@
     changed_.notify_all();
   }
 
-  // False after a hang.
+  // Returns false if the wait timed out.
   bool WaitMessages(size_t n) {
     return Wait([&] { return messages_.size() >= n; });
   }
--- a/packages/inner/tests/mesh_test.cc
+++ b/packages/inner/tests/mesh_test.cc
@@ -45,7 +45,7 @@
   BOOST_TEST(part.shards.at(0).servers.size() == 2U);
   BOOST_TEST(part.time_left.count <= 200);
 
-  // b knows a only by a's hello.
+  // b knows a's address only from its hello.
   BOOST_TEST(b.mesh.Send(from, MakeOutcomes(5)));
   BOOST_REQUIRE(a.inbox.WaitMessages(1));
   const auto reply = a.inbox.messages().front().second;
@@ -80,7 +80,7 @@
 }
 
 // An instance is started with a key from an old settings file. Its peers must
-// not take its messages, and it must see that they are lost.
+// reject its messages, and it must learn that they are lost.
 BOOST_AUTO_TEST_CASE(a_peer_with_another_key_is_refused) {
   Node a("a", 1, {}, 0, "old secret");
   Node b("b");
@@ -91,8 +91,8 @@
 }
 
 // An instance crashes and a new one starts at the same address. Work for the
-// old life reaches the new one, which knows nothing of it; its caller would
-// wait for the deadline.
+// previous incarnation reaches the new one, which doesn't know it; the caller
+// would wait for the deadline.
 BOOST_AUTO_TEST_CASE(work_for_a_former_life_is_not_delivered) {
   Node a("a");
   Node b("b", 2);
@@ -104,8 +104,8 @@
   BOOST_TEST(std::get<PartRequest>(message).origin.part.value == 2U);
 }
 
-// The platform gives an instance's IP number to another instance. Messages for
-// the first must not be taken by the second.
+// The platform reassigns an instance's IP address to another instance. Messages
+// for the first must not be accepted by the second.
 BOOST_AUTO_TEST_CASE(work_for_another_instance_is_not_delivered) {
   Node a("a");
   Node c("c");
@@ -116,8 +116,8 @@
   BOOST_TEST(c.inbox.messages().empty());
 }
 
-// A peer dies while it works on a part and nothing is being sent to it. The
-// origin has to hear of it at once, not with the next message.
+// A peer dies while it works on a part and no message is being sent to it. The
+// origin must be notified at once, not with its next message.
 BOOST_AUTO_TEST_CASE(the_death_of_an_idle_peer_is_noticed) {
   Node a("a");
   auto b = std::make_unique<Node>("b");
--- a/packages/inner/tests/overload_test.cc
+++ b/packages/inner/tests/overload_test.cc
@@ -1,4 +1,4 @@
-// Peers that are slow or gone, and queues that fill.
+// Slow or dead peers and full queues.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -49,8 +49,9 @@
 
 }  // namespace
 
-// A peer's process is stopped: its machine takes connections, nobody reads.
-// The origin gives up after the timeout, and others are served meanwhile.
+// A peer's process is stopped: its kernel accepts connections, but nobody
+// reads. The sender gives up after the timeout, and messages to other peers are
+// not delayed.
 BOOST_AUTO_TEST_CASE(a_peer_that_does_not_read_holds_up_nobody_else) {
   const DeafListener deaf;
   const Peer peer{InstanceId("deaf"), deaf.address(), {}};
@@ -62,8 +63,8 @@
   BOOST_TEST(a.inbox.WaitFailure(peer.id));
 }
 
-// The same peer while more and more is sent to it: memory stays bounded, and
-// the sender is told.
+// More and more messages are sent to the same kind of peer: memory stays
+// bounded, and the sender is notified.
 BOOST_AUTO_TEST_CASE(a_full_queue_refuses) {
   const DeafListener deaf;
   const Peer peer{InstanceId("deaf"), deaf.address(), {}};
@@ -76,15 +77,16 @@
   for (int i = 0; i < 20; ++i) {
     if (a.mesh.Send(peer, Digest())) ++control;
   }
-  // The thread may have taken some for its first batch already.
+  // The thread may already have taken some for its first batch.
   BOOST_TEST(control < 20);
-  // Control has filled its own queue only.
+  // Control messages have filled only their own queue.
   BOOST_TEST(a.mesh.Send(peer, MakePart(1)));
   BOOST_TEST(a.inbox.WaitFailure(peer.id));
 }
 
-// Thrift counts bytes of a message against a limit of its own; on a connection
-// that lives for days the count must not add up until the connection breaks.
+// Thrift counts the bytes of a message against a limit of its own. On a
+// connection that lives for days the count must not accumulate until the
+// connection breaks.
 BOOST_AUTO_TEST_CASE(a_long_lived_connection_carries_any_amount) {
   constexpr size_t kSize = 1 << 20;
   constexpr uint64_t kCount = 130;
@@ -100,8 +102,8 @@
   BOOST_TEST(b.mesh.counts().bytes_received > kSize * kCount);
 }
 
-// Time spent in the queue is taken off what a part has left, or the owner
-// would go on working for a caller that has been answered.
+// The time spent in the queue is subtracted from a part's time left; otherwise
+// the owner would keep working for a caller that has been answered.
 BOOST_AUTO_TEST_CASE(a_part_loses_the_time_that_it_waited) {
   const auto sent =
       hibiscuspick::inner::ToWire(Message(MakePart(1)), Millis(50));
--- a/packages/inner/tests/raw_client.h
+++ b/packages/inner/tests/raw_client.h
@@ -1,4 +1,4 @@
-// A hand-made client of the inner port: bytes as the test wants them.
+// A client of the inner port that sends arbitrary bytes.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,7 +28,7 @@
     ::inet_pton(AF_INET, address.ip.c_str(), &name.sin_addr);
     connected_ =
         ::connect(fd_, reinterpret_cast<sockaddr*>(&name), sizeof name) == 0;
-    // A hang guard only.
+    // Only guards against a hang.
     const timeval limit{30, 0};
     ::setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
   }
@@ -43,7 +43,7 @@
            static_cast<ssize_t>(bytes.size());
   }
 
-  // The next frame's content, empty when the other side has closed.
+  // The next frame's content; empty if the other side has closed.
   std::string ReadFrame() {
     const std::string head = ReadAll(4);
     if (head.size() < 4) return "";
@@ -52,7 +52,7 @@
     return ReadAll(size);
   }
 
-  // Whether the other side closes; waits for it.
+  // Waits until the other side closes; false if it sends a byte instead.
   bool IsClosed() { return ReadAll(1).empty(); }
 
  private:
@@ -81,7 +81,7 @@
 
 using apache::thrift::protocol::TProtocol;
 
-// What `write` writes, as the content of one frame.
+// The output of `write`, as the content of one frame.
 inline std::string Encoded(const std::function<void(TProtocol*)>& write) {
   const auto buffer =
       std::make_shared<apache::thrift::transport::TMemoryBuffer>();
@@ -90,7 +90,7 @@
   return buffer->getBufferAsString();
 }
 
-// A call's frame with its one argument as field 1.
+// The frame of a call with its one argument as field 1.
 inline std::string CallOf(const std::string& name,
                           apache::thrift::protocol::TMessageType type,
                           apache::thrift::protocol::TType argument,
--- a/packages/inner/tests/stranger_test.cc
+++ b/packages/inner/tests/stranger_test.cc
@@ -1,4 +1,4 @@
-// What reaches the inner port from others than well-behaved peers.
+// Invalid, unauthenticated and newer clients of the inner port.
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -32,7 +32,7 @@
 
 namespace {
 
-// One list of messages, each written by its function.
+// A deliver frame with a list of messages, each written by a function.
 using Writer = std::function<void(TProtocol*)>;
 std::string DeliverFrame(const std::vector<Writer>& messages) {
   return CallOf("deliver", protocol::T_ONEWAY, protocol::T_LIST,
@@ -61,7 +61,7 @@
   it->writeStructEnd();
 }
 
-// A cancel with a field that was added later.
+// A cancel with a field that a later version added.
 void WriteCancelWithMore(TProtocol* it) {
   it->writeStructBegin("Message");
   it->writeFieldBegin("cancel", protocol::T_STRUCT, 3);
@@ -121,8 +121,8 @@
 
 }  // namespace
 
-// A port scanner, a misdirected client or a broken peer writes to the inner
-// port. It must be cut off without touching anybody else's traffic.
+// A port scanner, a misdirected client or a faulty peer connects to the inner
+// port. Its connection must be closed without affecting any other traffic.
 BOOST_DATA_TEST_CASE(bad_bytes_end_only_their_connection, data::make(kBadBytes),
                      it) {
   Node node("b");
@@ -162,7 +162,7 @@
 }
 
 // During an upgrade a newer instance sends kinds and fields that an older one
-// has never heard of. What the older one does know must still get through.
+// does not know. The older one must still receive those that it knows.
 BOOST_AUTO_TEST_CASE(unknown_kinds_and_fields_are_passed_over) {
   Node node("b");
   RawClient client(node.mesh.address());
@@ -177,8 +177,8 @@
   BOOST_TEST(std::holds_alternative<PartRequest>(messages.at(1).second));
 }
 
-// Somebody opens connections and sends nothing, or a byte now and then. Peers
-// must still get in, and the connections must end.
+// A client opens connections and sends nothing, or a byte now and then. Peers
+// must still be accepted, and the client's connections must be closed.
 BOOST_AUTO_TEST_CASE(strangers_do_not_keep_peers_out) {
   constexpr size_t kStrangers = 4;
   MeshLimits limits;
--- a/packages/inner/tests/wire_test.cc
+++ b/packages/inner/tests/wire_test.cc
@@ -46,7 +46,7 @@
   return state;
 }
 
-// A digest as one of 66 instances in one of 7 data centres sends it.
+// The digest of an instance in a fleet of 66 in one of 7 data centres.
 Digest MakeDigest() {
   constexpr size_t kMembers = 66;
   constexpr size_t kDataCentres = 6;
@@ -90,7 +90,7 @@
   return out << it.name;
 }
 
-// What the traffic budget of a daemon is reckoned with.
+// The message sizes that a daemon's network traffic is estimated with.
 const SizeCase kSizes[] = {
     {"a digest at 66 members", MakeDigest(), 1500},
     {"news of one member and one server", MakeNews(), 200},
@@ -157,7 +157,7 @@
 }
 
 // An outcome comes from a version that has dropped the field, or is damaged.
-// "Not run" is a promise to the caller and must never arise from a default.
+// "Not run" is a guarantee to the caller and must never result from a default.
 BOOST_AUTO_TEST_CASE(what_does_not_say_that_it_did_not_run_may_have_run) {
   wire::PartOutcomes outcomes;
   outcomes.outcomes.emplace_back();
