--- a/packages/daemon/include/hibiscuspick/daemon/control_thread.h
+++ b/packages/daemon/include/hibiscuspick/daemon/control_thread.h
@@ -1,5 +1,5 @@
-// The one thread that owns control state: it feeds membership::Step with
-// events from everywhere and carries its actions out.
+// The thread that owns the control state: it passes events from all sources to
+// membership::Step and performs the resulting actions.
 #pragma once
 
 #include <atomic>
@@ -19,7 +19,7 @@
 
 namespace hibiscuspick::daemon {
 
-// What the control thread does to the rest of the process. Called on it.
+// The control thread's effects on the rest of the process. Called on it.
 struct ControlPorts {
   std::function<void(const membership::Peer&, membership::GossipMessage)> send;
   std::function<void(const TrafficView&)> on_view;
@@ -39,13 +39,13 @@
   void Start();
   void Stop();
 
-  // From any thread: the event is handled in order of arrival. A flood of
-  // messages from peers can't grow the queue without bound; the oldest rule of
-  // gossip makes a dropped one harmless, since the next digest repairs it.
+  // Queues an event; thread-safe. The queue is bounded, so a flood of messages
+  // from peers can't exhaust memory. A dropped message is harmless, since the
+  // next digest repairs the difference.
   void Post(membership::Event event);
 
-  // Handles the event and returns when its actions are done, so that an
-  // accepted write is in force here before the operator is told.
+  // Returns after the event's actions have been performed, so that an accepted
+  // write is in force here before the operator gets the reply.
   void PostAndWait(membership::Event event);
 
   // The newest view; never null.
@@ -54,11 +54,11 @@
   // The configuration's watermark, for the watch of the platform.
   Revision CompleteTo() const { return Revision(complete_to_); }
 
-  // The highest revision known of at all, above the watermark perhaps.
+  // The highest revision seen; may be above the watermark.
   Revision Newest() const { return Revision(newest_); }
 
-  // SteadyNow() at which the platform last confirmed the configuration, here or
-  // at an instance that said so; none if it never did.
+  // SteadyNow() at the platform's last confirmation of the configuration, to
+  // this instance or reported by another one; nullopt if there was none.
   std::optional<Millis> ConfirmedAt() const;
 
   uint64_t alarms() const { return alarms_; }
@@ -67,7 +67,7 @@
  private:
   struct Item {
     membership::Event event;
-    // Set when somebody waits.
+    // Set if a caller waits for the event.
     std::shared_ptr<std::atomic<bool>> done;
   };
 
@@ -89,7 +89,7 @@
   bool rebuild_wanted_ = false;
   std::atomic<uint64_t> complete_to_{0};
   std::atomic<uint64_t> newest_{0};
-  // Negative for never.
+  // Negative if never.
   std::atomic<double> confirmed_at_{-1};
   std::atomic<bool> started_{false};
   std::atomic<uint64_t> alarms_{0};
--- a/packages/daemon/include/hibiscuspick/daemon/daemon.h
+++ b/packages/daemon/include/hibiscuspick/daemon/daemon.h
@@ -1,4 +1,4 @@
-// The whole of one instance: all parts, wired, with their start and stop.
+// One complete instance: connects all its components, starts and stops them.
 #pragma once
 
 #include <atomic>
@@ -17,14 +17,14 @@
   Daemon& operator=(const Daemon&) = delete;
 
   // Listens on all three ports and starts all threads. Errors: kConnectFailed
-  // naming the address that can't be listened on.
+  // with the address that can't be listened on.
   Result<Done> Start();
 
-  // The graceful stop, in this order: /readyz says leaving and peers are told;
-  // requests are still served for the balancer's lag; what runs is finished;
-  // everything ends. Returns when all is over. `now` is looked at often: once
-  // it is true, or after stop_timeout, what still runs is cut off, and the log
-  // says so.
+  // Stops gracefully: /readyz reports that the instance is leaving and peers
+  // are notified; requests are still accepted for the balancer's lag; work in
+  // flight completes; then everything is stopped. Returns when it is done.
+  // `now` is polled: once it is true, or after stop_timeout, work in flight is
+  // aborted, which the log reports.
   void Stop(const std::atomic<bool>& now);
 
  private:
--- a/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
+++ b/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
@@ -1,4 +1,4 @@
-// Asks the platform now and then for its list of instances.
+// Periodically requests the list of instances from the platform.
 #pragma once
 
 #include <condition_variable>
@@ -12,15 +12,16 @@
 
 namespace hibiscuspick::daemon {
 
-// Each call counts at the platform, so only the data centre's watchers ask
-// regularly; an instance that knows nobody asks too.
+// Each call counts against the platform's limit, so only the data centre's
+// watchers, and instances that know no others, request the list regularly.
 class InstanceLister {
  public:
   using Sink = std::function<void(std::vector<platform::ListedInstance>)>;
 
   static constexpr Millis kInterval{2000};
 
-  // `wanted` tells whether to ask now; both are called by the lister's thread.
+  // `wanted` returns whether to request the list now. Both functions are called
+  // on the lister's thread.
   InstanceLister(platform::Calls calls, std::function<bool()> wanted,
                  Sink sink);
   ~InstanceLister();
--- a/packages/daemon/include/hibiscuspick/daemon/part_service.h
+++ b/packages/daemon/include/hibiscuspick/daemon/part_service.h
@@ -1,4 +1,4 @@
-// Runs parts of queries for other instances and sends their outcomes back.
+// Runs parts of queries for other instances and returns their outcomes.
 #pragma once
 
 #include <condition_variable>
@@ -16,15 +16,15 @@
 
 namespace hibiscuspick::daemon {
 
-// While a part runs, its origin is told every so often that this instance is
-// alive, by outcomes without shards. Work may rightly wait in its lane for
-// longer than an origin waits for an instance that died; without the notice
-// every queue would look like a dead owner, and be asked for again elsewhere.
+// While a part runs, this instance periodically sends its origin a heartbeat,
+// which is a message with no outcomes. Work may legitimately wait in its lane
+// for longer than an origin waits for a dead instance; without heartbeats an
+// origin would take a queue for a dead owner and request the part elsewhere.
 class PartService {
  public:
   using Send = std::function<void(const InstanceId& to, inner::Message)>;
 
-  // The interval is well under the smallest useful owner_timeout_ms.
+  // Well below the smallest useful owner_timeout_ms.
   static constexpr Millis kNoticeInterval{10};
 
   PartService(dispatch::PartExecutor* executor, Send send);
@@ -35,7 +35,7 @@
   void Run(const limits::PartRequest& part);
   void Cancel(const limits::PartOrigin& origin);
 
-  // Parts of other instances now running.
+  // The number of running parts of other instances.
   size_t running() const;
 
   void Stop();
--- a/packages/daemon/include/hibiscuspick/daemon/published.h
+++ b/packages/daemon/include/hibiscuspick/daemon/published.h
@@ -1,4 +1,4 @@
-// A value that one thread replaces and many read.
+// A value that one thread replaces and many threads read.
 #pragma once
 
 #include <memory>
@@ -7,10 +7,10 @@
 
 namespace hibiscuspick::daemon {
 
-// Holds the newest immutable value. Readers keep the one they took for as long
-// as they need, so that one request never sees two. A mutex around the copy of
-// a pointer costs some tens of nanoseconds, against a request's many
-// microseconds.
+// Holds the newest immutable value. A reader keeps the value that it got for as
+// long as it needs, so that one request never sees two. The mutex around the
+// copy of the pointer costs tens of nanoseconds, compared with many
+// microseconds for a request.
 template <class T>
 class Published {
  public:
--- a/packages/daemon/include/hibiscuspick/daemon/status.h
+++ b/packages/daemon/include/hibiscuspick/daemon/status.h
@@ -1,4 +1,4 @@
-// What /v1/status and /metrics tell of this instance and of the fleet as it
+// The content of /v1/status and /metrics: this instance, and the fleet as it
 // sees it.
 #pragma once
 
@@ -26,10 +26,11 @@
   dispatch::ExecutorMetrics executor;
 };
 
-// Members, backend servers with state and owner, versions in force, warnings.
+// Members, backend servers with their state and owner, versions in force,
+// warnings.
 Json StatusJson(const StatusFacts& facts);
 
-// The executor's counters as Prometheus text, a series for each service.
+// The executor's counters as Prometheus text, one series for each service.
 std::string GroupMetricsText(const dispatch::ExecutorMetrics& metrics);
 
 }  // namespace hibiscuspick::daemon
--- a/packages/daemon/include/hibiscuspick/daemon/traffic_view.h
+++ b/packages/daemon/include/hibiscuspick/daemon/traffic_view.h
@@ -1,5 +1,5 @@
-// What traffic threads need of configuration and membership, made once for
-// each change of either and never changed after.
+// The immutable view of configuration and membership that traffic threads use.
+// It is rebuilt after each change of either.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
 
 namespace hibiscuspick::daemon {
 
-// Where a record of a shard goes, by the newest manifest that has the shard.
+// Where records of a shard are sent, from the newest manifest with the shard.
 struct RecordTarget {
   IndexVersion version;
   std::vector<BackendServerId> servers;
@@ -30,22 +30,22 @@
   std::shared_ptr<const settings::Configuration> configuration;
   membership::ViewPointer members;
   membership::Placement placement;
-  // The manifests each route may pin, newest first.
+  // The plans for the manifests that each route may pin, newest first.
   std::unordered_map<RouteId, routing::Plans> plans;
   std::map<std::pair<ServiceId, ShardId>, RecordTarget> record_targets;
 };
 
-// Builds the view; pure.
+// Builds the view. Has no side effects.
 std::shared_ptr<const TrafficView> MakeTrafficView(
     std::shared_ptr<const settings::Configuration> configuration,
     membership::ViewPointer members);
 
-// Whether there is a configuration to serve.
+// Whether a configuration has been loaded.
 bool IsConfigured(const TrafficView& view);
 
-// The instances to ask for a service's shards: its owners, then this instance,
-// which sends directly when no owner answers; with the direct policy only this
-// instance.
+// The instances to ask for a service's shards, in order: its owners, then this
+// instance, which sends directly if no owner answers. With the direct policy,
+// only this instance.
 std::vector<InstanceId> CandidatesOf(const TrafficView& view,
                                      const ServiceId& service);
 
@@ -54,8 +54,8 @@
                                    const RouteId& route,
                                    const CustomerId& customer);
 
-// Errors: kNotReady, kUnknownService, kMalformedRequest for a shard that no
-// manifest gives to the service.
+// Errors: kNotReady, kUnknownService; kMalformedRequest if no manifest assigns
+// the shard to the service.
 Result<front::RecordValues> FindService(const TrafficView& view,
                                         const ServiceId& service,
                                         const ShardId& shard,
@@ -67,7 +67,7 @@
 // How long a record's key is remembered.
 Millis RecordWindowOf(const TrafficView& view);
 
-// All services as this instance's executor is to use them.
+// The configuration of all services for this instance's executor.
 std::vector<dispatch::GroupConfig> GroupConfigsOf(const TrafficView& view);
 
 }  // namespace hibiscuspick::daemon
--- a/packages/daemon/main.cc
+++ b/packages/daemon/main.cc
@@ -1,4 +1,4 @@
-// hibiscuspickd: one instance of the query tier.
+// hibiscuspickd: runs one instance of the query tier.
 #include <tclap/CmdLine.h>
 #include <unistd.h>
 
@@ -42,7 +42,7 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-// The settings, or nothing after all faults were printed.
+// The settings, or nullopt after printing all faults.
 template <class T>
 std::optional<T> GoodOrPrint(
     const std::string& path,
@@ -56,7 +56,7 @@
   return std::nullopt;
 }
 
-// The stop signals, blocked in all threads so that one thread takes them.
+// Blocks the stop signals in all threads, so that one thread can wait for them.
 sigset_t BlockStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -66,8 +66,8 @@
   return signals;
 }
 
-// Serves until the first signal and stops gracefully; a second one ends what
-// is still running at once.
+// Serves until the first stop signal, then stops gracefully. A second signal
+// aborts what is still running.
 int Serve(const DaemonSettings& settings) {
   const sigset_t signals = BlockStopSignals();
   std::signal(SIGPIPE, SIG_IGN);
@@ -90,12 +90,12 @@
   std::thread stopper([&] {
     daemon.Stop(now);
     stopped = true;
-    // Wakes the wait below if no second signal came.
+    // Wakes the wait below if no second signal has arrived.
     kill(getpid(), SIGTERM);
   });
   sigwait(&signals, &signal);
   if (!stopped) {
-    Log(Part::kDaemon).warn("Second signal: ends now.");
+    Log(Part::kDaemon).warn("Second stop signal received, stopping at once.");
     now = true;
   }
   stopper.join();
@@ -104,7 +104,7 @@
 }
 
 int SayGood(const std::string& path) {
-  std::cout << path << ": good\n";
+  std::cout << path << ": settings are valid\n";
   return EXIT_SUCCESS;
 }
 
@@ -128,7 +128,8 @@
 int main(int argc, char** argv) {
   TCLAP::CmdLine cmd(
       "hibiscuspickd runs one instance of the query tier. Exit codes: 0 "
-      "stopped as asked, 2 bad settings, 3 an address can't be listened on.",
+      "stopped by a signal, 2 invalid settings, 3 cannot listen on an "
+      "address.",
       ' ', HIBISCUSPICK_VERSION);
   TCLAP::ValueArg<std::string> settings_path(
       "s", "settings", "Settings file, JSON with comments.", true, "", "FILE",
@@ -138,7 +139,7 @@
   const std::string& path = settings_path.getValue();
   const auto text = ReadFile(path);
   if (!text) {
-    std::cerr << path << ": can't be read\n";
+    std::cerr << path << ": file could not be read\n";
     return kExitBadSettings;
   }
   return hibiscuspick::settings::IsEdgeSettings(*text)
--- a/packages/daemon/src/control_thread.cc
+++ b/packages/daemon/src/control_thread.cc
@@ -8,7 +8,7 @@
 namespace hibiscuspick::daemon {
 namespace {
 
-// Overloads a visitor from lambdas.
+// A visitor that overloads lambdas.
 template <class... F>
 struct Overload : F... {
   using F::operator()...;
@@ -67,7 +67,7 @@
 
 void ControlThread::PostAndWait(membership::Event event) {
   const auto done = std::make_shared<std::atomic<bool>>(false);
-  // Nobody would handle it, as when the start failed half way.
+  // Nobody would handle the event, as when the start failed halfway.
   if (!started_) return;
   std::unique_lock lock(mutex_);
   queue_.push_back({std::move(event), done});
@@ -134,18 +134,19 @@
                   .info("{} is in force at version {}.", name,
                         state_.config.objects.at(name).version.value);
             }
-            // Only the watermark rose, as with each write of a record.
+            // Only the watermark rose, as after each write of a record.
             if (it.changed.empty() && configuration_->known) return;
             configuration_ = settings::BuildConfiguration(state_.config,
                                                           configuration_.get());
             rebuild_wanted_ = true;
           },
           [&](const membership::StartWatching&) {
-            Log(Part::kPlatform).info("Watches the platform from now on.");
+            Log(Part::kPlatform).info("Started to watch the platform.");
             ports_.set_watching(true);
           },
           [&](const membership::StopWatching&) {
-            Log(Part::kPlatform).info("Leaves the watch to others.");
+            Log(Part::kPlatform)
+                .info("Stopped watching the platform, other instances do so.");
             ports_.set_watching(false);
           },
           [&](const membership::AdoptIncarnation& it) {
@@ -153,12 +154,14 @@
           },
           [&](const membership::MemberChange& it) {
             Log(Part::kMembers)
-                .info("{} in {} {}.", it.id.text, it.data_centre.text, it.what);
+                .info("Instance {} in {} {}.", it.id.text, it.data_centre.text,
+                      it.what);
           },
           [&](const membership::Alarm& it) {
             ++alarms_;
             Log(Part::kConfig)
-                .error("{} {}: {}.", CodeName(it.error.code), it.error.place,
+                .error("Configuration alarm {} for \"{}\": {}.",
+                       CodeName(it.error.code), it.error.place,
                        it.error.message);
           },
       },
@@ -178,7 +181,8 @@
     passed_on_[id] = news;
     Log(Part::kMembers)
         .info("Backend server {} {} (incarnation {}).", id.text,
-              news.draining ? "drains" : "takes work", news.incarnation.value);
+              news.draining ? "drains" : "accepts work",
+              news.incarnation.value);
     ports_.on_server_news(news);
   }
 }
@@ -189,7 +193,7 @@
       membership::PlacementChanges(before.placement, after.placement);
   for (const auto& it : changes) {
     Log(Part::kPlacement)
-        .info("Service {} moves from {} to {}.", it.service.text,
+        .info("Ownership of service {} moves from {} to {}.", it.service.text,
               it.from.empty() ? "nobody" : it.from.text,
               it.to.empty() ? "nobody" : it.to.text);
   }
--- a/packages/daemon/src/daemon.cc
+++ b/packages/daemon/src/daemon.cc
@@ -1,4 +1,4 @@
-// The start and stop of one instance.
+// Start and stop of one instance.
 #include "hibiscuspick/daemon/daemon.h"
 
 #include <utility>
@@ -8,11 +8,11 @@
 namespace hibiscuspick::daemon {
 namespace {
 
-// The last message to peers leaves within this; lost, they would take this
-// instance for silent and wait for it some seconds.
+// The time to send the last message to peers. Without it they would suspect
+// this instance and wait for it for some seconds.
 constexpr Millis kGoodbyeTakes{50};
 
-// How often the stop looks whether all is done.
+// The interval at which the stop polls for completion.
 constexpr Millis kStopPoll{10};
 
 }  // namespace
@@ -46,10 +46,12 @@
   listens = callers_server_.Start(settings_.callers.ip, settings_.callers.port);
   if (!IsOk(listens)) return listens;
   Log(Part::kDaemon)
-      .info("{} of {} listens on {} for callers, {} for operators, {} inside.",
-            settings_.instance.text, settings_.data_centre.text,
-            ToText(settings_.callers), ToText(settings_.operators),
-            ToText(settings_.inner));
+      .info(
+          "Instance {} of data centre {} listens on {} for callers, {} for "
+          "operators, {} for other instances.",
+          settings_.instance.text, settings_.data_centre.text,
+          ToText(settings_.callers), ToText(settings_.operators),
+          ToText(settings_.inner));
   return Done{};
 }
 
@@ -68,24 +70,26 @@
 
 void Daemon::Impl::Stop(const std::atomic<bool>& now) {
   const Millis begun = SteadyNow();
-  Log(Part::kDaemon).info("Leaves: {} in flight.", InFlight());
+  Log(Part::kDaemon)
+      .info("Stopping with {} requests and attempts in flight.", InFlight());
   leaving_ = true;
   callers_server_.CloseAfterAnswers();
   control_.Post(membership::SelfPhase{membership::Phase::kLeaving});
-  // The balancer and the peers hear of it late and go on sending meanwhile.
+  // The balancer and the peers learn of the stop late and keep sending.
   while (!now && SteadyNow() < begun + settings_.balancer_lag) {
     std::this_thread::sleep_for(kStopPoll.ToMicros());
   }
-  // Accepting ends before anything that requests need: a request that came
-  // just after the lag would otherwise find the executor gone and wait out its
-  // deadline for nothing.
+  // The server stops accepting before anything that requests depend on is
+  // stopped: a request that arrived just after the lag would otherwise find no
+  // executor and wait for its deadline in vain.
   std::thread closing([this] { callers_server_.Stop(); });
   if (!WaitUntilIdle(begun + settings_.stop_timeout, now)) {
-    Log(Part::kDaemon).warn("Cuts off {} in flight.", InFlight());
+    Log(Part::kDaemon)
+        .warn("Aborting {} requests and attempts in flight.", InFlight());
   }
   if (!records_.Flush(begun + settings_.stop_timeout)) {
     Log(Part::kRecord)
-        .warn("{} buckets have outcomes that are not stored.",
+        .warn("{} buckets of record claims have outcomes that are not stored.",
               records_.unstored());
   }
   control_.PostAndWait(membership::SelfPhase{membership::Phase::kGone});
--- a/packages/daemon/src/daemon_facts.cc
+++ b/packages/daemon/src/daemon_facts.cc
@@ -1,4 +1,4 @@
-// What one instance tells of itself.
+// The state and metrics that one instance reports about itself.
 #include "daemon_impl.h"
 
 namespace hibiscuspick::daemon {
@@ -7,8 +7,8 @@
   const auto confirmed = control_.ConfirmedAt();
   if (!confirmed) return {SteadyNow() - started_, false};
   const Millis age = SteadyNow() - *confirmed;
-  // Only watchers know at first hand; the others go by how old the watchers'
-  // word is.
+  // Only watchers observe the platform directly; other instances go by the age
+  // of the watchers' last report.
   const bool reachable =
       watching_ ? platform_reachable_.load() : age < PlatformSilence();
   return {age, reachable};
--- a/packages/daemon/src/daemon_impl.h
+++ b/packages/daemon/src/daemon_impl.h
@@ -1,4 +1,4 @@
-// The parts of one instance and how they reach each other.
+// The components of one instance and their connections.
 #pragma once
 
 #include <atomic>
@@ -27,13 +27,13 @@
 
 namespace hibiscuspick::daemon {
 
-// The parts in the order in which they start; they end in the reverse order,
-// so that none is called after its end.
+// The members are declared in the order in which they start and are destroyed
+// in reverse order, so that none is called after its destruction.
 class Daemon::Impl {
  public:
   explicit Impl(settings::DaemonSettings settings)
       : settings_(std::move(settings)),
-        // A later life has a later start, which is all that is asked of it.
+        // A later incarnation only needs a later start time.
         incarnation_(static_cast<uint64_t>(WallNow().count)),
         calls_(CallsOf(settings_)),
         executor_(ExecutorOptionsOf(settings_, incarnation_),
@@ -59,7 +59,8 @@
   void Stop(const std::atomic<bool>& now);
 
  private:
-  // A watcher's word reaches its data centre by digests, each second to two.
+  // Watchers' reports reach their data centre by digests within one to two
+  // seconds each.
   static constexpr Millis kWordTakes{5000};
 
   ControlPorts MakeControlPorts();
@@ -77,8 +78,8 @@
   records::DispatchResult DispatchRecord(const records::RecordRequest& request,
                                          Millis time_left);
   front::ConfigurationAge Age() const;
-  // The age of the watchers' word at which the platform counts as unreachable:
-  // a watch's whole wait, and some seconds for the word to get here.
+  // The age of the watchers' last report at which the platform counts as
+  // unreachable: a full watch, and the time for the report to propagate.
   Millis PlatformSilence() const {
     return settings_.platform_watch + kWordTakes;
   }
--- a/packages/daemon/src/daemon_ports.cc
+++ b/packages/daemon/src/daemon_ports.cc
@@ -1,4 +1,4 @@
-// How the parts of one instance reach each other.
+// The callbacks that connect the components of one instance.
 #include <functional>
 #include <string>
 #include <utility>
@@ -148,7 +148,7 @@
     return;
   }
   if (auto* outcomes = std::get_if<inner::PartOutcomes>(&message)) {
-    // Outcomes for a former life of this instance are nobody's.
+    // Outcomes for a previous incarnation of this instance are dropped.
     if (outcomes->incarnation != incarnation_) return;
     runner_.OnOutcomes(outcomes->part, std::move(outcomes->outcomes));
     return;
@@ -183,7 +183,7 @@
   mesh_.SetPeers(membership::PeersOf(*view.members));
   if (IsConfigured(view) && !serving_.exchange(true)) {
     Log(Part::kDaemon)
-        .info("Serves configuration {}.",
+        .info("Serving the configuration of revision {}.",
               view.configuration->complete_to.value);
     control_.Post(membership::SelfPhase{membership::Phase::kServing});
   }
--- a/packages/daemon/src/part_options.h
+++ b/packages/daemon/src/part_options.h
@@ -1,4 +1,4 @@
-// What each part of an instance is started with, from the settings file.
+// The options of each component of an instance, from the settings file.
 #pragma once
 
 #include "hibiscuspick/dispatch/part_executor.h"
--- a/packages/daemon/src/status.cc
+++ b/packages/daemon/src/status.cc
@@ -79,7 +79,7 @@
   return warnings;
 }
 
-// One counter of a group and how it is read.
+// A counter of a group and the function that reads it.
 struct GroupSeries {
   const char* name;
   const char* help;
--- a/packages/daemon/src/traffic_view.cc
+++ b/packages/daemon/src/traffic_view.cc
@@ -8,8 +8,8 @@
 using settings::EffectiveSettings;
 using settings::Key;
 
-// The data centre of this instance is a level of the settings tree, so every
-// scope names it.
+// Every scope includes this instance's data centre, which is a level of the
+// settings tree.
 settings::Scope ScopeOf(const TrafficView& view) {
   settings::Scope scope;
   scope.data_centre = view.members->data_centre;
@@ -41,7 +41,7 @@
   return plans;
 }
 
-// Manifests come newest first, so that the first to name a shard wins.
+// Called for the newest manifest first, so the first one with a shard wins.
 void AddRecordTargets(const settings::Snapshot& manifest, TrafficView* view) {
   for (const auto& shard : manifest.shards) {
     RecordTarget target{manifest.index_version, shard.backend_servers};
@@ -102,8 +102,9 @@
   return policy;
 }
 
-// With direct sending all instances reach every server, so that each takes an
-// equal share of its connections; with owners the owner has all but a reserve.
+// With direct sending, all instances connect to every server, so each takes an
+// equal share of the server's connections. With owners, the owner gets all but
+// a reserve.
 void ShareConnections(const TrafficView& view, dispatch::GroupConfig* group) {
   const ServiceId& id = group->service.id;
   if (!SendsDirectly(view, id)) {
@@ -164,7 +165,7 @@
                                    const RouteId& route,
                                    const CustomerId& customer) {
   if (!IsConfigured(view)) {
-    return Error{Code::kNotReady, "", "no configuration is known yet"};
+    return Error{Code::kNotReady, "", "no configuration is loaded yet"};
   }
   const auto it = view.configuration->routes.find(route);
   if (it == view.configuration->routes.end()) {
@@ -201,14 +202,14 @@
                                         const ShardId& shard,
                                         const CustomerId& customer) {
   if (!IsConfigured(view)) {
-    return Error{Code::kNotReady, "", "no configuration is known yet"};
+    return Error{Code::kNotReady, "", "no configuration is loaded yet"};
   }
   if (!view.configuration->services.contains(service)) {
     return Error{Code::kUnknownService, service.text, "no such service"};
   }
   if (!view.record_targets.contains({service, shard})) {
     return Error{Code::kMalformedRequest, "$.shard",
-                 "no manifest gives this shard to the service"};
+                 "no manifest assigns this shard to the service"};
   }
   settings::Scope scope = ScopeOf(view);
   scope.customer = customer;
@@ -224,7 +225,7 @@
   settings::Scope scope = ScopeOf(view);
   scope.customer = customer;
   const auto values = settings::ResolveAll(view.configuration->settings, scope);
-  // 0 stands for no limit in the settings.
+  // In the settings, 0 means no limit.
   routing::CustomerRules rules;
   const auto rate = CountOf(values, Key::kCustomerRateLimit);
   if (rate > 0) {
--- a/packages/daemon/tests/test_fleet.h
+++ b/packages/daemon/tests/test_fleet.h
@@ -1,5 +1,5 @@
-// A whole small system in one process: the platform and backend servers as
-// stand-ins, and daemons between them, all on loopback.
+// A small system in one process on loopback: stand-ins for the platform and the
+// backend servers, and daemons between them.
 #pragma once
 
 #include <arpa/inet.h>
@@ -47,7 +47,7 @@
 struct FleetShape {
   size_t services = 4;
   size_t servers_per_service = 2;
-  // Data centre of each daemon.
+  // The data centre of each daemon.
   std::vector<std::string> daemons = {"dc-1", "dc-1", "dc-1"};
 };
 
@@ -79,15 +79,15 @@
     BOOST_REQUIRE(IsOk(daemons[i]->Start()));
   }
 
-  // A graceful stop.
+  // Stops gracefully.
   void StopDaemon(size_t i) {
     if (!daemons[i]) return;
     daemons[i]->Stop(no_);
     daemons[i].reset();
   }
 
-  // Writes services, a snapshot of one shard each and three routes, and waits
-  // until all daemons serve them.
+  // Writes services, a snapshot with one shard for each and three routes, and
+  // waits until all daemons serve them.
   void Configure() {
     for (size_t s = 0; s < shape_.services; ++s) {
       Put("/v1/services/service-" + std::to_string(s), ServiceObject(s));
@@ -145,7 +145,7 @@
 
   Json Status(size_t i) { return Operate(i, "GET", "/v1/status").body; }
 
-  // The version of the object at the daemon, 0 if it is not known there.
+  // The version of the object at the daemon; 0 if it has none.
   uint64_t VersionAt(size_t i, const std::string& name) {
     const Json status = Status(i);
     if (!status.is_object()) return 0;
@@ -155,7 +155,7 @@
     return VersionAt(i, name) > 0;
   }
 
-  // Whether each daemon sees all others serving.
+  // Whether each daemon sees all others as serving.
   bool AllSeeAll() {
     for (size_t i = 0; i < daemons.size(); ++i) {
       if (daemons[i] && ServingSeenBy(i) != Alive()) return false;
@@ -255,7 +255,7 @@
   const std::atomic<bool> no_{false};
 };
 
-// What an answer says, checked against what it holds.
+// Compares an answer's coverage and version with its content.
 inline void CheckTrue(const HttpAnswer& answer, uint64_t shards) {
   BOOST_REQUIRE(answer.body.is_object());
   const Json& coverage = answer.body["coverage"];
--- a/packages/daemon/tests/whole_path_test.cc
+++ b/packages/daemon/tests/whole_path_test.cc
@@ -21,8 +21,8 @@
 
 constexpr uint64_t kShards = 4;
 
-// A balancer that looks often and goes on sending for a while, well within the
-// daemons' balancer_lag.
+// A load balancer that polls often and keeps sending for a while, well within
+// the daemons' balancer_lag.
 constexpr std::chrono::milliseconds kBalancerPoll{10};
 constexpr std::chrono::milliseconds kBalancerLag{50};
 
@@ -46,9 +46,9 @@
   }
 }
 
-// One of a service's two backend servers dies; then the other. The caller sees
-// whole answers as long as one lives, and then an answer that names the shard
-// it lacks instead of passing for whole.
+// One of a service's two backend servers dies, then the other. The caller gets
+// complete answers as long as one is alive. After that, the answer must name
+// the missing shard instead of claiming full coverage.
 BOOST_AUTO_TEST_CASE(a_lost_replica_costs_nothing_and_a_lost_service_is_told) {
   TestFleet fleet({});
   fleet.Configure();
@@ -68,9 +68,9 @@
   }
 }
 
-// The platform goes silent for a long stretch. Queries must go on from what
-// the instances know, saying how old it is; a change must be refused rather
-// than seem accepted.
+// The platform is down for a long time. Queries must continue with the known
+// configuration and report its age; a change must be rejected rather than
+// appear accepted.
 BOOST_AUTO_TEST_CASE(queries_go_on_without_the_platform) {
   TestFleet fleet({});
   fleet.Configure();
@@ -94,8 +94,8 @@
   }));
 }
 
-// An operator's change is accepted by one instance. It must be in force there
-// at once and everywhere soon, or callers see two systems.
+// One instance accepts an operator's change. It must be in force there at once
+// and everywhere soon, or callers get inconsistent answers.
 BOOST_AUTO_TEST_CASE(an_accepted_change_is_in_force_everywhere) {
   TestFleet fleet({});
   fleet.Configure();
@@ -112,9 +112,9 @@
   }
 }
 
-// A backend server says in a reply that it leaves, while the platform is down.
-// Unless the news spreads, instances that have not asked it yet send it work
-// until it is gone.
+// A backend server reports in a reply that it is draining, while the platform
+// is down. Unless the report spreads, instances that have not used the server
+// since would send it work until it is gone.
 BOOST_AUTO_TEST_CASE(a_leaving_server_gets_no_new_work_from_anyone) {
   TestFleet fleet({});
   fleet.Configure();
@@ -142,9 +142,9 @@
   BOOST_TEST(leaving.stats().arrived == before);
 }
 
-// An instance is stopped as planned while callers send one query after the
-// other through a balancer, which learns of it late. Each query sent must get
-// its whole answer, those that the instance works on for others included.
+// An instance is stopped gracefully while callers send queries one after the
+// other through a load balancer, which notices late. Each query must get its
+// complete answer, including those that the instance works on for others.
 BOOST_AUTO_TEST_CASE(a_planned_stop_cuts_no_request_off) {
   TestFleet fleet({});
   fleet.Configure();
@@ -183,9 +183,9 @@
   BOOST_TEST(cut == 0);
 }
 
-// A balancer lags by more than was allowed for, and requests still arrive while
-// the instance closes. Each is answered whole or not taken at all; none is
-// taken and then left without what it needs.
+// A load balancer lags by more than balancer_lag, and requests still arrive
+// while the instance stops. Each is answered completely or not accepted; none
+// is accepted and then fails because a component has already stopped.
 BOOST_AUTO_TEST_CASE(a_request_after_the_lag_is_whole_or_not_taken) {
   for (int round = 0; round < 3; ++round) {
     TestFleet fleet({});
@@ -198,7 +198,7 @@
         for (;;) {
           const auto answer = fleet.Query(0, "whole");
           if (answer.refused) return;
-          // Closed before anything was read of it.
+          // The connection was closed before any of the request was read.
           if (answer.status == 0) continue;
           const bool good = answer.status == 200 && Answered(answer) == kShards;
           ++(good ? whole : wrong);
@@ -214,8 +214,8 @@
 }
 
 // Every instance is replaced, one after the other, while the platform is down.
-// Each new one has no disk and must take the configuration from its peers, or
-// the fleet forgets what was accepted.
+// Each new one has no disk and must load the configuration from its peers, or
+// the fleet loses accepted changes.
 BOOST_AUTO_TEST_CASE(replacing_one_by_one_keeps_the_configuration) {
   TestFleet fleet({});
   fleet.Configure();
@@ -235,8 +235,8 @@
   }
 }
 
-// All instances are replaced at once while the platform is down. Nobody can
-// know the configuration, and a made-up answer would be worse than none.
+// All instances are replaced at once while the platform is down. No instance
+// has the configuration, and a made-up answer would be worse than none.
 BOOST_AUTO_TEST_CASE(replaced_all_at_once_without_the_platform_is_not_ready) {
   TestFleet fleet({});
   fleet.Configure();
@@ -251,9 +251,9 @@
   BOOST_TEST(Eventually([&] { return fleet.Query(0, "whole").status == 200; }));
 }
 
-// A caller sends one claim again at another instance because the first answer
+// A caller sends one claim again to another instance because the first answer
 // was slow. It must be recorded once; with the platform down it must be
-// refused as not run.
+// rejected as not run.
 BOOST_AUTO_TEST_CASE(a_record_runs_once_whoever_is_asked) {
   TestFleet fleet({});
   fleet.Configure();
@@ -279,10 +279,10 @@
   BOOST_TEST(refused.body["error"]["ran"] == "no");
 }
 
-// Index versions change while queries run: every server drops version 7 for
+// The index version changes while queries run: every server drops version 7 for
 // version 8, one after the other, and the manifest follows. An answer that
-// mixed the two could name a policy that no longer exists beside one that does
-// not exist yet.
+// mixed the two could contain a policy that no longer exists next to one that
+// doesn't exist yet.
 BOOST_AUTO_TEST_CASE(a_rolling_version_is_never_mixed) {
   TestFleet fleet({});
   fleet.Configure();
