--- a/packages/edge/include/hibiscuspick/edge/backends.h
+++ b/packages/edge/include/hibiscuspick/edge/backends.h
@@ -18,9 +18,9 @@
 #include "hibiscuspick/edge/loop.h"
 #include "hibiscuspick/edge/prober.h"
 #include "hibiscuspick/engine/cold_start.h"
-#include "hibiscuspick/engine/extra_budget.h"
+#include "hibiscuspick/engine/extra_attempt_budget.h"
 #include "hibiscuspick/engine/fan_out.h"
-#include "hibiscuspick/engine/server_belief.h"
+#include "hibiscuspick/engine/server_view.h"
 #include "hibiscuspick/settings/mechanisms.h"
 
 namespace hibiscuspick::edge {
@@ -40,7 +40,7 @@
   // Estimates of the server instance that ran the attempt. Another server may
   // meanwhile be listed under the same id; this result must not be charged to
   // it.
-  std::shared_ptr<engine::ServerBelief> belief;
+  std::shared_ptr<engine::ServerView> belief;
   AttemptEnd end = AttemptEnd::kNotSent;
   HttpReply reply;
   // Measured from the moment the request was sent.
@@ -59,7 +59,7 @@
   std::vector<BackendServerId> excluded;
   // Data centres the route is restricted to; null for all. Owned by the route,
   // which outlives the attempt.
-  const engine::Homes* homes = nullptr;
+  const engine::AllowedDataCentres* homes = nullptr;
   // Skips servers that are suspected of a pause.
   bool only_unsuspected = false;
   // Returns the serialised request for the given server.
@@ -94,7 +94,7 @@
   settings::Mechanisms mechanisms;
   // Parameters of the budget of extra attempts; the slack is set for each
   // service.
-  engine::ExtraLimits extra;
+  engine::ExtraAttemptLimits extra;
   Millis connect_timeout{300};
   // Interval between connection attempts to an unreachable server.
   Millis probe_interval{300};
@@ -163,21 +163,22 @@
   const BackendsPolicy& policy() const { return policy_; }
   size_t open_attempts() const { return attempts_.size(); }
   bool HasServerInReach(const ServiceId& service,
-                        const engine::Homes& homes) const;
+                        const engine::AllowedDataCentres& homes) const;
   // Estimates queueing and service time of a part due at `due`; nullopt if none
   // of the service's servers is reachable.
-  std::optional<engine::ShardOutlook> Outlook(const ServiceId& service,
-                                              Millis usual, Millis due,
-                                              const engine::Homes& homes) const;
+  std::optional<engine::ShardEstimate> Outlook(
+      const ServiceId& service, Millis usual, Millis due,
+      const engine::AllowedDataCentres& homes) const;
   // Incremented whenever the result of DataCentresOf may have changed.
   uint64_t generation() const { return generation_; }
   // The data centres that have servers of nearly all of the services.
-  std::vector<DataCentreId> PlacesOf(const std::vector<ServiceId>& services,
-                                     const engine::Homes& homes) const;
+  std::vector<DataCentreId> PlacesOf(
+      const std::vector<ServiceId>& services,
+      const engine::AllowedDataCentres& homes) const;
   // The data centres with at least one server of the service that is reachable
   // and not suspected of a pause.
-  std::vector<DataCentreId> PlacesOfService(const ServiceId& service,
-                                            const engine::Homes& homes) const;
+  std::vector<DataCentreId> PlacesOfService(
+      const ServiceId& service, const engine::AllowedDataCentres& homes) const;
   // Addresses of servers in a data centre that may be reachable, rotated on
   // each call so that the first is not always the same.
   std::vector<Address> AddressesIn(const DataCentreId& where);
@@ -208,7 +209,7 @@
   struct Attempt;
 
   ServiceState& StateOf(const ServiceId& service);
-  engine::ExtraLimits LimitsOf(const ServiceState& state) const;
+  engine::ExtraAttemptLimits LimitsOf(const ServiceState& state) const;
   Server* Choose(const AttemptOrder& order);
   std::shared_ptr<HttpChannel> TakeIdle(Server* server, bool once);
   void OpenFor(const std::shared_ptr<Server>& server, AttemptId id);
@@ -220,7 +221,8 @@
   bool IsEvacuated(const Server& server) const;
   bool IsInReach(const Server& server) const;
   // Whether the server is reachable and in a data centre that the route allows.
-  bool MayServe(const Server& server, const engine::Homes& homes) const;
+  bool MayServe(const Server& server,
+                const engine::AllowedDataCentres& homes) const;
   // Treats a server that became reachable again as cold until it reports
   // otherwise.
   void TakeForCold(Server* server);
--- a/packages/edge/include/hibiscuspick/edge/peer_sender.h
+++ b/packages/edge/include/hibiscuspick/edge/peer_sender.h
@@ -100,10 +100,10 @@
   // Chooses the peer for a fan-out over shards in these data centres, among
   // those that `homes` allows; nullopt if this instance should run it itself.
   std::optional<engine::Peer> Choose(const std::vector<DataCentreId>& places,
-                                     const engine::Homes& homes);
+                                     const engine::AllowedDataCentres& homes);
   // This instance's role and rank among the senders; the default if it is not
   // one.
-  engine::GroupRank Rank() const;
+  engine::SenderRank Rank() const;
 
   // A reachable relay in that data centre, rotating between them; nullptr if
   // there is none.
--- a/packages/edge/include/hibiscuspick/edge/query_run.h
+++ b/packages/edge/include/hibiscuspick/edge/query_run.h
@@ -17,7 +17,7 @@
 #include "hibiscuspick/engine/gather.h"
 #include "hibiscuspick/engine/lag_meter.h"
 #include "hibiscuspick/engine/peers.h"
-#include "hibiscuspick/engine/route_pace.h"
+#include "hibiscuspick/engine/route_latency.h"
 #include "hibiscuspick/engine/traffic_config.h"
 
 namespace hibiscuspick::edge {
@@ -120,7 +120,7 @@
 
   QueryRun(QueryContext* context,
            std::shared_ptr<const engine::TrafficConfig> config,
-           const engine::Route* route, engine::RoutePace* pace,
+           const engine::Route* route, engine::RouteLatency* pace,
            HttpRequest request);
 
   // Starts the parts. `services` are the shards, or the one service of a plain
@@ -131,7 +131,7 @@
   // now.
   static HandedClocks ClocksFor(const QueryContext& context,
                                 const engine::Route& route,
-                                engine::RoutePace* pace,
+                                engine::RouteLatency* pace,
                                 const HttpRequest& request);
 
   // Sets the deadlines of a query forwarded by a peer. Before Start.
@@ -266,7 +266,7 @@
   QueryContext* const context_;
   const std::shared_ptr<const engine::TrafficConfig> config_;
   const engine::Route* const route_;
-  engine::RoutePace* const pace_;
+  engine::RouteLatency* const pace_;
   HttpRequest request_;
   std::string request_id_;
   // The service whose budget of extra attempts this query uses; shared by all
@@ -288,7 +288,7 @@
   // How many of the open parts the peer needs; 0 before it asked.
   size_t wanted_ = 0;
   std::vector<Part> parts_;
-  engine::GatherClocks clocks_;
+  engine::GatherDeadlines clocks_;
   // Start of the query, or of its continuation by Resume.
   Millis began_;
   Loop::TimerId timer_ = 0;
@@ -299,7 +299,7 @@
   bool by_clock_ = false;
   Millis retry_after_{50};
   // The estimate on which an admission refusal is based.
-  engine::ShardOutlook refused_by_;
+  engine::ShardEstimate refused_by_;
   bool done_ = false;
 };
 
--- a/packages/edge/include/hibiscuspick/edge/traffic_server.h
+++ b/packages/edge/include/hibiscuspick/edge/traffic_server.h
@@ -25,7 +25,7 @@
 #include "hibiscuspick/edge/query_run.h"
 #include "hibiscuspick/edge/request_log.h"
 #include "hibiscuspick/edge/wire_names.h"
-#include "hibiscuspick/engine/route_pace.h"
+#include "hibiscuspick/engine/route_latency.h"
 #include "hibiscuspick/engine/sender_shares.h"
 #include "hibiscuspick/engine/traffic_config.h"
 
@@ -145,7 +145,7 @@
                     HttpRequest request, HandedEnd end, const HttpReply& reply);
   void ShareOut();
   std::vector<ServiceId> ServicesFor(const engine::Route& route);
-  engine::RoutePace* PaceOf(const engine::Route& route);
+  engine::RouteLatency* PaceOf(const engine::Route& route);
   // The data centres that have servers of nearly all shards of the route.
   const std::vector<DataCentreId>& PlacesOf(const engine::Route& route);
   void Refuse(HttpSession* session, const HttpRequest& request, int status,
@@ -182,7 +182,7 @@
   Millis stop_began_;
   EarlyRequests early_;
   RequestLog request_log_;
-  std::map<RouteId, std::unique_ptr<engine::RoutePace>> paces_;
+  std::map<RouteId, std::unique_ptr<engine::RouteLatency>> paces_;
   std::map<RouteId, engine::SplitState> splits_;
   // Cached for each server list: computing it scans hundreds of servers, too
   // much per query for an instance with an eighth of a core.
--- a/packages/edge/src/backends.cc
+++ b/packages/edge/src/backends.cc
@@ -54,7 +54,7 @@
   return *state;
 }
 
-engine::ExtraLimits Backends::LimitsOf(const ServiceState& state) const {
+engine::ExtraAttemptLimits Backends::LimitsOf(const ServiceState& state) const {
   auto limits = policy_.extra;
   limits.slack = state.share.slack;
   return limits;
@@ -62,12 +62,13 @@
 
 bool Backends::HasExtra(const ServiceId& service, double reserve) {
   const auto& state = StateOf(service);
-  return engine::HasExtra(state.extra, LimitsOf(state), loop_->now(), reserve);
+  return engine::HasExtraAttempt(state.extra, LimitsOf(state), loop_->now(),
+                                 reserve);
 }
 
 void Backends::TakeExtra(const ServiceId& service) {
   auto& state = StateOf(service);
-  engine::TakeExtra(&state.extra, LimitsOf(state), loop_->now());
+  engine::TakeExtraAttempt(&state.extra, LimitsOf(state), loop_->now());
 }
 
 void Backends::CountRequest(const ServiceId& service) {
@@ -82,7 +83,7 @@
 }
 
 bool Backends::HasServerInReach(const ServiceId& service,
-                                const engine::Homes& homes) const {
+                                const engine::AllowedDataCentres& homes) const {
   const auto found = services_.find(service);
   if (found == services_.end()) return false;
   const auto& servers = found->second->servers;
@@ -90,9 +91,9 @@
                      [&](auto& it) { return MayServe(*it, homes); });
 }
 
-std::optional<engine::ShardOutlook> Backends::Outlook(
+std::optional<engine::ShardEstimate> Backends::Outlook(
     const ServiceId& service, Millis usual, Millis due,
-    const engine::Homes& homes) const {
+    const engine::AllowedDataCentres& homes) const {
   const auto found = services_.find(service);
   if (found == services_.end()) return std::nullopt;
   const auto& state = *found->second;
@@ -102,10 +103,10 @@
     const auto& belief = it->belief;
     if (!MayServe(*it, homes)) continue;
     const Millis cost =
-        usual * engine::SlownessNow(belief, policy_.choice, loop_->now());
+        usual * engine::RelativeLatency(belief, policy_.choice, loop_->now());
     fastest = fastest ? Min(*fastest, cost) : cost;
     double here =
-        static_cast<double>(engine::OpenLimit(belief, policy_.choice)) *
+        static_cast<double>(engine::OpenAttemptLimit(belief, policy_.choice)) *
         (usual.count / cost.count);
     if (state.share.when_cold && loop_->now() < belief.warm_at) {
       here = std::min(here, *state.share.when_cold *
@@ -114,32 +115,34 @@
     at_once += here;
   }
   if (!fastest) return std::nullopt;
-  engine::ShardOutlook outlook{Millis(0), *fastest, Millis(0)};
+  engine::ShardEstimate outlook{Millis(0), *fastest, Millis(0)};
   if (state.waiting.empty()) return outlook;
   const Millis each = usual * (1 / std::max(at_once, kLeastAtOnce));
   const auto& waiting = state.waiting;
   const auto in_time = waiting.upper_bound({false, due.count, 0, 0});
   const auto behind = waiting.upper_bound({true, due.count, 0, 0});
-  outlook.wait = each * PartsIn(waiting.begin(), in_time);
-  outlook.wait_behind = outlook.wait + each * PartsIn(in_time, behind);
+  outlook.queue_wait = each * PartsIn(waiting.begin(), in_time);
+  outlook.deprioritized_wait =
+      outlook.queue_wait + each * PartsIn(in_time, behind);
   return outlook;
 }
 
 Backends::Server* Backends::Choose(const AttemptOrder& order) {
   auto& state = StateOf(order.service);
   const Millis now = loop_->now();
-  static const engine::Homes anywhere;
+  static const engine::AllowedDataCentres anywhere;
   const auto& homes = order.homes != nullptr ? *order.homes : anywhere;
   auto choice = policy_.choice;
-  choice.most_open = std::min(choice.most_open, state.share.connections);
-  choice.when_cold = state.share.when_cold;
+  choice.max_open_attempts =
+      std::min(choice.max_open_attempts, state.share.connections);
+  choice.cold_allowance = state.share.when_cold;
   JoinPauseCycle(&state, order.budget_of);
   choice.pause_cycle = state.pause_cycle.get();
   if (policy_.mechanisms.dearer_failing &&
-      !HasExtra(order.budget_of, engine::kKeptForNeed)) {
-    choice.failure_cost = choice.unpaid_failure_cost;
+      !HasExtra(order.budget_of, engine::kUrgentReserve)) {
+    choice.failure_cost = choice.unbudgeted_failure_cost;
   }
-  std::vector<const engine::ServerBelief*> beliefs;
+  std::vector<const engine::ServerView*> beliefs;
   std::vector<Server*> servers;
   const size_t n = state.servers.size();
   ++state.turn;
@@ -147,7 +150,8 @@
     Server* server = state.servers[(i + state.turn) % n].get();
     const auto& belief = server->belief;
     if (!MayServe(*server, homes)) continue;
-    if (order.only_unsuspected && engine::IsSuspected(belief, now)) continue;
+    if (order.only_unsuspected && engine::IsPauseSuspected(belief, now))
+      continue;
     if (std::find(order.excluded.begin(), order.excluded.end(),
                   belief.entry.id) != order.excluded.end()) {
       continue;
@@ -171,10 +175,10 @@
   if (chosen == nullptr) return std::nullopt;
   const auto server = chosen->shared_from_this();
   const AttemptId id(++last_attempt_);
-  engine::NoteSent(&server->belief,
-                   {id, loop_->now(), loop_->now() + order.overdue_after});
+  engine::RecordSent(&server->belief,
+                     {id, loop_->now(), loop_->now() + order.overdue_after});
   if (StateOf(order.service).share.when_cold) {
-    engine::AddSent(&server->belief.sent_lately, loop_->now());
+    engine::AddRecentSend(&server->belief.recent_sends, loop_->now());
   }
   auto attempt = std::make_unique<Attempt>();
   attempt->server = server;
@@ -281,7 +285,7 @@
     attempt->order.on_end(std::move(result));
   }
   // on_end has recorded the result; this removes the attempt if it did not.
-  engine::NoteEnded(&server->belief, id);
+  engine::RecordCancelled(&server->belief, id);
   Forget(server);
   PumpSoon(server->belief.entry.service);
 }
@@ -326,8 +330,8 @@
 }
 
 void Backends::NoteFailure(const AttemptResult& result) {
-  engine::NoteFailure(result.belief.get(), result.id, policy_.choice,
-                      loop_->now());
+  engine::RecordFailure(result.belief.get(), result.id, policy_.choice,
+                        loop_->now());
 }
 
 void Backends::NoteWarmup(const AttemptResult& result, Millis left) {
@@ -335,15 +339,16 @@
 }
 
 void Backends::NoteReply(const AttemptResult& result, Millis usual) {
-  engine::NoteReply(result.belief.get(), result.id, result.latency, usual,
-                    policy_.choice, loop_->now());
+  engine::RecordReply(result.belief.get(), result.id, result.latency, usual,
+                      policy_.choice, loop_->now());
   auto* server = result.belief.get();
   const auto& cycle = StateOf(server->entry.service).pause_cycle;
   if (!cycle) return;
-  const auto load = engine::ReadLoadReport(
+  const auto load = engine::ParseLoadReport(
       FindHeader(result.reply.headers, policy_.load_header));
-  engine::NotePauses(&server->pauses, cycle.get(), result.latency,
-                     usual * (load ? load->work_factor : 1), loop_->now());
+  engine::RecordReplyLatency(&server->pauses, cycle.get(), result.latency,
+                             usual * (load ? load->work_factor : 1),
+                             loop_->now());
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends_impl.h
+++ b/packages/edge/src/backends_impl.h
@@ -16,7 +16,7 @@
 inline constexpr Millis kSweepInterval{100};
 
 struct Backends::Server : std::enable_shared_from_this<Backends::Server> {
-  engine::ServerBelief belief;
+  engine::ServerView belief;
   std::vector<std::shared_ptr<HttpChannel>> idle;
   Millis idle_timeout = kDefaultIdleTimeout;
   // Time of the last reply or successful connect.
@@ -27,7 +27,7 @@
 struct Backends::ServiceState {
   ServiceId id;
   std::vector<std::shared_ptr<Server>> servers;
-  engine::ExtraBudget extra;
+  engine::ExtraAttemptBudget extra;
   ServiceShare share;
   std::map<WaitKey, Waiting> waiting;
   // Shared by the shards that are queried together with this service.
--- a/packages/edge/src/backends_reach.cc
+++ b/packages/edge/src/backends_reach.cc
@@ -46,14 +46,14 @@
 }
 
 bool Backends::IsInReach(const Server& server) const {
-  return engine::IsWithinReach(server.belief) && !IsEvacuated(server) &&
+  return engine::IsAvailable(server.belief) && !IsEvacuated(server) &&
          !prober_->IsLost(server.belief.entry.data_centre);
 }
 
 bool Backends::MayServe(const Server& server,
-                        const engine::Homes& homes) const {
+                        const engine::AllowedDataCentres& homes) const {
   return IsInReach(server) &&
-         engine::IsHome(homes, server.belief.entry.data_centre);
+         engine::IsAllowed(homes, server.belief.entry.data_centre);
 }
 
 void Backends::TakeForCold(Server* server) {
--- a/packages/edge/src/backends_servers.cc
+++ b/packages/edge/src/backends_servers.cc
@@ -127,7 +127,8 @@
 }
 
 std::vector<DataCentreId> Backends::PlacesOf(
-    const std::vector<ServiceId>& services, const engine::Homes& homes) const {
+    const std::vector<ServiceId>& services,
+    const engine::AllowedDataCentres& homes) const {
   std::map<DataCentreId, size_t> counts;
   for (const auto& service : services) {
     const auto found = services_.find(service);
@@ -136,7 +137,7 @@
     for (const auto& it : found->second->servers) {
       const auto& where = it->belief.entry.data_centre;
       if (it->belief.removed || IsEvacuated(*it)) continue;
-      if (engine::IsHome(homes, where)) places.insert(where);
+      if (engine::IsAllowed(homes, where)) places.insert(where);
     }
     for (const auto& it : places) ++counts[it];
   }
@@ -155,13 +156,14 @@
 }
 
 std::vector<DataCentreId> Backends::PlacesOfService(
-    const ServiceId& service, const engine::Homes& homes) const {
+    const ServiceId& service, const engine::AllowedDataCentres& homes) const {
   std::vector<DataCentreId> places;
   const auto found = services_.find(service);
   if (found == services_.end()) return places;
   for (const auto& it : found->second->servers) {
     const auto& belief = it->belief;
-    if (!MayServe(*it, homes) || engine::IsSuspected(belief, loop_->now())) {
+    if (!MayServe(*it, homes) ||
+        engine::IsPauseSuspected(belief, loop_->now())) {
       continue;
     }
     const auto& place = belief.entry.data_centre;
@@ -179,7 +181,7 @@
 
 // Deletes a removed server once its last attempt has ended.
 void Backends::Forget(const std::shared_ptr<Server>& server) {
-  if (!server->belief.removed || !server->belief.open.empty()) return;
+  if (!server->belief.removed || !server->belief.open_attempts.empty()) return;
   auto& all = StateOf(server->belief.entry.service).servers;
   std::erase(all, server);
   const auto listed = servers_.find(server->belief.entry.id);
--- a/packages/edge/src/peer_sender.cc
+++ b/packages/edge/src/peer_sender.cc
@@ -183,9 +183,9 @@
 
 void PeerSender::NoteLacking(const DataCentreId& where, double share) {
   auto& health = health_[where];
-  const Millis before = health.avoided_until;
-  engine::NoteRelay(&health, share, loop_->now());
-  if (health.avoided_until > before) {
+  const Millis before = health.backoff_until;
+  engine::RecordRelay(&health, share, loop_->now());
+  if (health.backoff_until > before) {
     Log(Part::kMembers)
         .info(
             "relays in data centre {} miss too many parts: querying its shards "
@@ -202,7 +202,7 @@
 
 bool PeerSender::HasRelayIn(const DataCentreId& where) const {
   const auto health = health_.find(where);
-  if (health != health_.end() && loop_->now() < health->second.avoided_until) {
+  if (health != health_.end() && loop_->now() < health->second.backoff_until) {
     return false;
   }
   return std::any_of(relays_.begin(), relays_.end(),
@@ -219,22 +219,22 @@
   // data centre; other relays are equal.
   if (senders_.empty()) return there[++turn_ % there.size()];
   const auto idle = std::find_if(there.begin(), there.end(), [&](auto* it) {
-    return BusyShare(it->id) < engine::kBusySender;
+    return BusyShare(it->id) < engine::kMaxSenderUtilisation;
   });
   return idle != there.end() ? *idle : there.front();
 }
 
-engine::GroupRank PeerSender::Rank() const {
+engine::SenderRank PeerSender::Rank() const {
   using engine::SenderRole;
   if (!own_) return {};
-  const auto first = engine::FirstSenders(senders_);
+  const auto first = engine::PrimarySenders(senders_);
   const auto is_own = [&](auto& it) { return it.id == own_->id; };
   const auto place_in = [&](const auto& all) {
     return static_cast<size_t>(std::find_if(all.begin(), all.end(), is_own) -
                                all.begin());
   };
   const size_t as_first = place_in(first);
-  if (as_first < first.size()) return {SenderRole::kFirst, as_first};
+  if (as_first < first.size()) return {SenderRole::kPrimary, as_first};
   const size_t among_all = place_in(senders_);
   if (among_all == senders_.size()) return {};
   // Primary senders before it do not count among the standbys.
@@ -243,7 +243,7 @@
     return std::any_of(first.begin(), first.end(),
                        [&](auto& other) { return other.id == it.id; });
   });
-  return {SenderRole::kStandIn, among_all - static_cast<size_t>(before)};
+  return {SenderRole::kStandby, among_all - static_cast<size_t>(before)};
 }
 
 double PeerSender::BusyShare(const InstanceId& peer) const {
@@ -261,15 +261,16 @@
 }
 
 std::optional<engine::Peer> PeerSender::Choose(
-    const std::vector<DataCentreId>& places, const engine::Homes& homes) {
+    const std::vector<DataCentreId>& places,
+    const engine::AllowedDataCentres& homes) {
   if (!own_ || senders_.empty()) return std::nullopt;
-  auto there = engine::SendersAtHome(senders_, homes);
+  auto there = engine::AllowedSenders(senders_, homes);
   std::erase_if(there, [&](auto& it) {
     return IsAvoided(it.id) || prober_->IsLost(it.data_centre);
   });
   const auto* chosen =
-      engine::SenderFor(there, *own_, places, ++turn_,
-                        [this](const auto& it) { return BusyShare(it); });
+      engine::ChooseSender(there, *own_, places, ++turn_,
+                           [this](const auto& it) { return BusyShare(it); });
   if (chosen == nullptr) return std::nullopt;
   return *chosen;
 }
@@ -302,7 +303,7 @@
     SendOn(open);
   } else {
     open->channel = std::make_shared<HttpChannel>(loop_);
-    open->channel->Connect(peer.queries, kConnectTimeout,
+    open->channel->Connect(peer.query_address, kConnectTimeout,
                            [this, open](bool ok) {
                              if (!open->on_end) {
                                open->channel->Close();
--- a/packages/edge/src/prober.cc
+++ b/packages/edge/src/prober.cc
@@ -25,7 +25,7 @@
   for (const auto& it : peers) {
     auto& there = addresses[it.data_centre];
     if (it.data_centre != own_ && there.size() < kMostTried) {
-      there.push_back(it.queries);
+      there.push_back(it.query_address);
     }
   }
   for (auto& [where, there] : addresses) {
@@ -46,14 +46,14 @@
 void Prober::NoteFailed(const DataCentreId& where) {
   if (where == own_) return;
   auto& place = places_[where];
-  if (place.failed <= place.reach.heard) place.failed = loop_->now();
+  if (place.failed <= place.reach.last_contact) place.failed = loop_->now();
   Suspect(where, place.failed);
 }
 
 void Prober::Suspect(const DataCentreId& where, Millis since) {
   if (where == own_ || !active_) return;
   const auto& place = places_[where];
-  if (engine::WantsProbe(place.reach, since, loop_->now())) Probe(where);
+  if (engine::NeedsProbe(place.reach, since, loop_->now())) Probe(where);
 }
 
 void Prober::SuspectAll(Millis since) {
@@ -64,13 +64,13 @@
 
 bool Prober::IsLost(const DataCentreId& where) const {
   const auto found = places_.find(where);
-  return found != places_.end() && found->second.reach.lost;
+  return found != places_.end() && found->second.reach.unreachable;
 }
 
 bool Prober::IsAlone() const {
   return !places_.empty() &&
          std::all_of(places_.begin(), places_.end(),
-                     [](auto& it) { return it.second.reach.lost; });
+                     [](auto& it) { return it.second.reach.unreachable; });
 }
 
 void Prober::NotifyIfIsolated() {
@@ -86,9 +86,11 @@
   Try(where, place.peers);
   loop_->At(loop_->now() + kServersAfter, [this, where] {
     const auto& reach = places_[where].reach;
-    if (servers_ && reach.heard < reach.asked) Try(where, servers_(where));
+    if (servers_ && reach.last_contact < reach.probe_started_at)
+      Try(where, servers_(where));
   });
-  loop_->At(loop_->now() + engine::kProbeTime, [this, where] { End(where); });
+  loop_->At(loop_->now() + engine::kProbeTimeout,
+            [this, where] { End(where); });
 }
 
 void Prober::Try(const DataCentreId& where, const std::vector<Address>& some) {
@@ -96,25 +98,26 @@
   for (const auto& it : some) {
     if (++tried > kMostTried) return;
     const auto channel = std::make_shared<HttpChannel>(loop_);
-    channel->Connect(it, engine::kProbeTime, [this, where, channel](bool ok) {
-      if (ok) RecordContact(where);
-      channel->Close();
-    });
+    channel->Connect(it, engine::kProbeTimeout,
+                     [this, where, channel](bool ok) {
+                       if (ok) RecordContact(where);
+                       channel->Close();
+                     });
   }
 }
 
 void Prober::End(const DataCentreId& where) {
   auto& reach = places_[where].reach;
-  const bool was_lost = reach.lost;
+  const bool was_lost = reach.unreachable;
   const auto end = engine::EndProbe(&reach, loop_->now());
-  if (end == engine::ProbeEnd::kThere) return;
-  if (reach.lost && !was_lost) {
+  if (end == engine::ProbeResult::kReachable) return;
+  if (reach.unreachable && !was_lost) {
     Log(Part::kMembers).warn("data centre {} is unreachable", where.text);
     NotifyIfIsolated();
   }
   reach.probing = true;
   const Millis now = loop_->now();
-  loop_->At(now + engine::ProbePause(reach, now),
+  loop_->At(now + engine::ProbeDelay(reach, now),
             [this, where] { Probe(where); });
 }
 
--- a/packages/edge/src/query_answer.cc
+++ b/packages/edge/src/query_answer.cc
@@ -136,7 +136,7 @@
   return fmt::format(
       "capacity: queue wait {:.0f} ms, service time {:.0f} ms, target in "
       "{:.0f} ms",
-      refused_by_.wait.count, refused_by_.service.count,
+      refused_by_.queue_wait.count, refused_by_.service_time.count,
       (clocks_.answer_at - began_).count);
 }
 
@@ -165,7 +165,7 @@
   outcome.reply = std::move(reply);
   outcome.fault = fault;
   outcome.shards = progress.shards;
-  outcome.shards_in = progress.in;
+  outcome.shards_in = progress.received;
   outcome.extras = extras_;
   outcome.kept_back = static_cast<size_t>(std::count_if(
       parts_.begin(), parts_.end(), [](auto& it) { return it.deferred; }));
@@ -186,7 +186,7 @@
         {std::string(kShardsSpentHeader), JoinPlaces(SpentPlaces())});
   }
   QueryOutcome outcome = OutcomeOf(std::move(reply), fault);
-  const bool in_time = context_->loop->now() < clocks_.end_at;
+  const bool in_time = context_->loop->now() < clocks_.deadline;
   if (!places_.empty() && fault == QueryFault::kNone && in_time) {
     outcome.open = OpenPlaces();
   }
@@ -216,7 +216,7 @@
     return;
   }
   const auto progress = Progress();
-  if (progress.in >= progress.needed) {
+  if (progress.received >= progress.needed) {
     Answer();
   } else {
     Fail(QueryFault::kStopping);
--- a/packages/edge/src/query_relay.cc
+++ b/packages/edge/src/query_relay.cc
@@ -23,13 +23,13 @@
   const Millis left = clocks_.answer_at - began_;
   if (!Uses().relays || peers == nullptr || !route_->gather ||
       !places_.empty() ||
-      left - context_->relay_lag.usual() < kLeastRelayTime) {
+      left - context_->relay_lag.typical() < kLeastRelayTime) {
     return asked;
   }
   std::vector<std::vector<DataCentreId>> places(parts_.size());
   for (const size_t i : asked) {
-    places[i] =
-        context_->backends->PlacesOfService(parts_[i].service, route_->homes);
+    places[i] = context_->backends->PlacesOfService(
+        parts_[i].service, route_->allowed_data_centres);
   }
   const auto groups = engine::GroupRelays(
       places, context_->backends->policy().choice.own_data_centre,
@@ -45,12 +45,12 @@
 }
 
 bool QueryRun::SendRelay(const engine::RelayGroup& group) {
-  const auto* peer = context_->peers->RelayIn(group.where);
+  const auto* peer = context_->peers->RelayIn(group.data_centre);
   if (peer == nullptr) return false;
   const Millis left = clocks_.answer_at - began_;
   HandedQuery query;
-  query.clocks.answer_in = left - context_->relay_lag.usual();
-  query.clocks.end_in = clocks_.end_at - began_;
+  query.clocks.answer_in = left - context_->relay_lag.typical();
+  query.clocks.end_in = clocks_.deadline - began_;
   query.shards = group.shards;
   AskPeer(*peer, std::move(query), left,
           [self = shared_from_this(), group, peer = *peer](
@@ -77,7 +77,7 @@
   const auto& shards = group.shards;
   const auto named = SplitPlaces(FindHeader(reply.headers, kShardsInHeader));
   const double in = named ? static_cast<double>(named->size()) : 0;
-  context_->peers->NoteLacking(group.where,
+  context_->peers->NoteLacking(group.data_centre,
                                1 - in / static_cast<double>(shards.size()));
   NoteHop(reply, began_, &context_->relay_lag);
   if (done_) return;
--- a/packages/edge/src/query_rest.cc
+++ b/packages/edge/src/query_rest.cc
@@ -63,17 +63,17 @@
 void QueryRun::AskForRests() {
   if (rests_.empty() || context_->loop->now() < clocks_.answer_at) return;
   const auto progress = Progress();
-  if (progress.in >= progress.needed) return;
+  if (progress.received >= progress.needed) return;
   for (const auto& it : std::exchange(rests_, {})) {
-    AskForRest(it, progress.needed - progress.in);
+    AskForRest(it, progress.needed - progress.received);
   }
 }
 
 void QueryRun::AskForRest(const Rest& rest, size_t wanted) {
-  const Millis left = clocks_.end_at - context_->loop->now();
+  const Millis left = clocks_.deadline - context_->loop->now();
   HandedQuery query;
   query.clocks.answer_in = Millis(0);
-  query.clocks.end_in = left - context_->relay_lag.usual();
+  query.clocks.end_in = left - context_->relay_lag.typical();
   query.shards = rest.shards;
   query.rest = {rest.token, wanted};
   AskPeer(
--- a/packages/edge/src/query_retry.cc
+++ b/packages/edge/src/query_retry.cc
@@ -18,7 +18,8 @@
 void QueryRun::RetryPart(size_t i, bool ran) {
   auto& part = parts_[i];
   if (!part.open.empty() || part.waiting) return;
-  const bool may_repeat = !ran || route_->repeat == engine::Repeat::kIdempotent;
+  const bool may_repeat =
+      !ran || route_->idempotency == engine::Idempotency::kIdempotent;
   if (!may_repeat || !HasAttemptLeft(part) || part.refusals > kMostRefusals) {
     part.failed = true;
     return;
@@ -34,7 +35,7 @@
                               : Extra::kOptional;
   if (TryPart(i, kind)) return;
   auto& backends = *context_->backends;
-  if (!backends.HasServerInReach(part.service, route_->homes) ||
+  if (!backends.HasServerInReach(part.service, route_->allowed_data_centres) ||
       kind == Extra::kOptional ||
       (extra && !backends.HasExtra(budget_of_, 0))) {
     part.failed = true;
@@ -44,7 +45,8 @@
 }
 
 bool QueryRun::MayHedge(const Part& part) const {
-  return Uses().hedging && route_->repeat == engine::Repeat::kIdempotent &&
+  return Uses().hedging &&
+         route_->idempotency == engine::Idempotency::kIdempotent &&
          route_->attempts > 1 && part.open.size() == 1 && HasAttemptLeft(part);
 }
 
@@ -56,23 +58,23 @@
 // peer has only some of the route's shards.
 size_t QueryRun::NeededOfAll() const {
   if (!route_->gather) return 1;
-  const double share = route_->gather->least_share;
+  const double share = route_->gather->min_coverage;
   return places_.empty() ? engine::PartsNeeded(share, parts_.size())
-                         : engine::PartsNeededOfSome(share, parts_.size());
+                         : engine::PartsNeededOfSubset(share, parts_.size());
 }
 
 // Handles late parts: queries deferred shards in their place and, as the budget
 // allows, a second server for the late ones.
 void QueryRun::HedgeParts() {
-  std::vector<engine::PartView> missing;
+  std::vector<engine::PendingPart> missing;
   for (size_t i = 0; i < parts_.size(); ++i) {
     const auto& part = parts_[i];
     if (part.IsOver()) continue;
-    engine::PartView view;
-    view.place = i;
+    engine::PendingPart view;
+    view.index = i;
     // The relay that queries it also hedges it.
-    view.open = part.relayed ? 0 : static_cast<int>(part.open.size());
-    view.since = part.open.empty() ? kNever : part.open[0].since;
+    view.open_attempts = part.relayed ? 0 : static_cast<int>(part.open.size());
+    view.sent_at = part.open.empty() ? kNever : part.open[0].since;
     view.deferred = part.deferred;
     view.may_hedge = MayHedge(part);
     missing.push_back(view);
@@ -82,7 +84,7 @@
   const auto plan =
       engine::PlanHedges(std::move(missing), in, NeededOfAll(),
                          context_->loop->now() - pace_->hedge_after);
-  for (const size_t i : plan.start) StartPart(i);
+  for (const size_t i : plan.start_deferred) StartPart(i);
   for (const size_t i : plan.urgent) TryPart(i, Extra::kNeeded);
   for (const size_t i : plan.optional) TryPart(i, Extra::kOptional);
 }
@@ -110,7 +112,8 @@
   const bool late = context_->loop->now() >= clocks_.answer_at;
   for (size_t i = 0; i < parts_.size(); ++i) {
     if (!parts_[i].deferred) continue;
-    if (asked >= progress.needed && !(late && progress.in < progress.needed)) {
+    if (asked >= progress.needed &&
+        !(late && progress.received < progress.needed)) {
       continue;
     }
     StartPart(i);
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -9,7 +9,7 @@
 namespace {
 
 using engine::GatherStep;
-using engine::Repeat;
+using engine::Idempotency;
 
 // A caller that has waited for longer than a connection setup takes is taken to
 // be retrying.
@@ -26,7 +26,7 @@
 
 QueryRun::QueryRun(QueryContext* context,
                    std::shared_ptr<const engine::TrafficConfig> config,
-                   const engine::Route* route, engine::RoutePace* pace,
+                   const engine::Route* route, engine::RouteLatency* pace,
                    HttpRequest request)
     : context_(context),
       config_(std::move(config)),
@@ -47,7 +47,7 @@
 
 HandedClocks QueryRun::ClocksFor(const QueryContext& context,
                                  const engine::Route& route,
-                                 engine::RoutePace* pace,
+                                 engine::RouteLatency* pace,
                                  const HttpRequest& request) {
   HandedClocks clocks;
   clocks.end_in = route.timeout;
@@ -55,7 +55,7 @@
   const auto header = FindHeader(request.headers, context.names->deadline);
   if (const auto n = WholeNumber(header); n && *n > 0) {
     const Millis said(static_cast<double>(*n));
-    spent = engine::SpentBefore(pace, said);
+    spent = engine::TimeAlreadyWaited(pace, said);
     clocks.returning = spent > kReturningAfter;
     clocks.end_in = Min(clocks.end_in, said - context.end_margin);
   }
@@ -70,12 +70,12 @@
   const HandedClocks clocks =
       handed_ ? *handed_ : ClocksFor(*context_, *route_, pace_, request_);
   returning_ = clocks.returning;
-  clocks_.end_at = began_ + Min(clocks.end_in, route_->timeout);
+  clocks_.deadline = began_ + Min(clocks.end_in, route_->timeout);
   Millis answer_in = clocks.answer_in;
-  if (Uses().answer_lag) answer_in = answer_in - context_->answer_lag.usual();
+  if (Uses().answer_lag) answer_in = answer_in - context_->answer_lag.typical();
   if (clocks.lags) {
     answer_in = engine::BestAnswerTime(
-        *pace_, answer_in + engine::UsualLag(*clocks.lags), *clocks.lags);
+        *pace_, answer_in + engine::TypicalLag(*clocks.lags), *clocks.lags);
   }
   clocks_.answer_at = began_ + answer_in;
 }
@@ -96,33 +96,34 @@
 
 // Starts the immediate parts, or answers at once if the query is refused.
 bool QueryRun::StartParts() {
-  std::vector<std::optional<engine::ShardOutlook>> outlooks;
+  std::vector<std::optional<engine::ShardEstimate>> outlooks;
   for (const auto& it : parts_) {
     outlooks.push_back(context_->backends->Outlook(
-        it.service, pace_->usual, clocks_.answer_at, route_->homes));
+        it.service, pace_->median, clocks_.answer_at,
+        route_->allowed_data_centres));
   }
   const size_t needed = Progress().needed;
   const Millis to_target = clocks_.answer_at - began_;
   const auto admission = engine::Admit(
-      outlooks, needed, {to_target, clocks_.end_at - began_, returning_});
+      outlooks, needed, {to_target, clocks_.deadline - began_, returning_});
   if (Uses().whole_query_refusal && !admission.admitted && places_.empty()) {
     retry_after_ = admission.retry_after;
-    refused_by_ = admission.decisive;
+    refused_by_ = admission.critical_shard;
     Fail(QueryFault::kOverloaded);
     return false;
   }
-  behind_ = admission.behind;
+  behind_ = admission.deprioritized;
   // A peer that forwarded parts needs all of them.
   const bool keeps_back = Uses().kept_back_shards && places_.empty();
   const auto plan = engine::PlanFanOut(outlooks, needed, to_target,
                                        keeps_back ? kDeferShare : kNeverDefer);
-  if (!plan.possible) {
+  if (!plan.feasible) {
     Fail(QueryFault::kNoServer);
     return false;
   }
   for (const size_t i : plan.unreachable) parts_[i].failed = true;
   for (const size_t i : plan.deferred) parts_[i].deferred = true;
-  for (const size_t i : RelayParts(plan.asked)) StartPart(i);
+  for (const size_t i : RelayParts(plan.immediate)) StartPart(i);
   return true;
 }
 
@@ -144,7 +145,8 @@
     if (self->done_ || it.in || it.failed) return true;
     if (!self->TryPart(i, extra ? Extra::kNeeded : Extra::kNone)) {
       const auto& backends = *self->context_->backends;
-      if (backends.HasServerInReach(it.service, self->route_->homes)) {
+      if (backends.HasServerInReach(it.service,
+                                    self->route_->allowed_data_centres)) {
         return false;
       }
       // The last available server was lost while the part waited.
@@ -168,7 +170,7 @@
   auto& backends = *context_->backends;
   const Millis now = context_->loop->now();
   const bool reserves = Uses().hedge_reserve && extra == Extra::kOptional;
-  const double reserve = reserves ? engine::kKeptForNeed : 0;
+  const double reserve = reserves ? engine::kUrgentReserve : 0;
   const bool is_extra = extra != Extra::kNone;
   if (is_extra && !backends.HasExtra(budget_of_, reserve)) return false;
   AttemptOrder order = OrderFor(i);
@@ -187,13 +189,13 @@
   AttemptOrder order;
   order.service = parts_[i].service;
   order.budget_of = budget_of_;
-  order.usual = pace_->usual;
+  order.usual = pace_->median;
   order.overdue_after = pace_->hedge_after;
   order.excluded = parts_[i].ran_on;
   for (const auto& it : parts_[i].open) order.excluded.push_back(it.server);
-  order.homes = &route_->homes;
+  order.homes = &route_->allowed_data_centres;
   order.to_head = request_.method == "HEAD";
-  order.once = route_->repeat == Repeat::kOnce;
+  order.once = route_->idempotency == Idempotency::kNotIdempotent;
   const auto self = shared_from_this();
   order.text_for = [self, i](const BackendServerId& server) {
     self->parts_[i].ran_on.push_back(server);
@@ -220,7 +222,7 @@
 std::string QueryRun::TextFor(const BackendServerId& server) const {
   const auto& names = *context_->names;
   HttpRequest sent = Forwarded();
-  const Millis left = Max(clocks_.end_at - context_->loop->now(), Millis(1));
+  const Millis left = Max(clocks_.deadline - context_->loop->now(), Millis(1));
   sent.headers.push_back(
       {names.deadline, std::to_string(static_cast<int64_t>(left.count))});
   sent.headers.push_back({names.expect_instance, server.text});
@@ -256,7 +258,7 @@
   const bool whole = result.end == AttemptEnd::kReply;
   if (whole) NoteWarmup(result);
   if (whole && IsGood(result.reply)) {
-    backends.NoteReply(result, pace_->usual);
+    backends.NoteReply(result, pace_->median);
     engine::AddLatency(pace_, result.latency, route_->target);
     if (done_ || part.in) return;
     part.in = true;
@@ -300,7 +302,7 @@
   for (const auto& it : parts_) {
     if (it.settled) continue;
     ++progress.shards;
-    progress.in += it.in ? 1 : 0;
+    progress.received += it.in ? 1 : 0;
     progress.failed += (it.failed || it.deferred) && !it.in ? 1 : 0;
   }
   if (places_.empty()) {
@@ -325,8 +327,8 @@
     case GatherStep::kFail:
       Fail(MayHaveRun() ? QueryFault::kServersFailed : QueryFault::kNoServer);
       return;
-    case GatherStep::kTimeUp:
-      if (wanted_ > 0 && progress.in > 0) {
+    case GatherStep::kTimedOut:
+      if (wanted_ > 0 && progress.received > 0) {
         Answer();
         return;
       }
@@ -341,7 +343,7 @@
   if (done_ || resting_) return;
   context_->loop->Cancel(timer_);
   const Millis now = context_->loop->now();
-  Millis next = Min(clocks_.end_at, NextHedge());
+  Millis next = Min(clocks_.deadline, NextHedge());
   if (clocks_.answer_at > now) next = Min(next, clocks_.answer_at);
   const bool by_answer_clock = next == clocks_.answer_at;
   timer_ =
--- a/packages/edge/src/traffic_handover.cc
+++ b/packages/edge/src/traffic_handover.cc
@@ -105,8 +105,9 @@
   const auto [it, is_new] = places_.try_emplace(route.id);
   auto& held = it->second;
   if (is_new || held.generation != backends_.generation()) {
-    held = {backends_.generation(),
-            backends_.PlacesOf(route.gather->shards, route.homes)};
+    held = {
+        backends_.generation(),
+        backends_.PlacesOf(route.gather->shards, route.allowed_data_centres)};
   }
   return held.places;
 }
@@ -117,7 +118,7 @@
                              const HttpRequest& request,
                              const engine::Route& route) {
   if (!route.gather || peers_.senders().empty()) return false;
-  const auto peer = peers_.Choose(PlacesOf(route), route.homes);
+  const auto peer = peers_.Choose(PlacesOf(route), route.allowed_data_centres);
   if (!peer) return false;
   HandedQuery query;
   query.config_version = config_->version;
@@ -126,7 +127,7 @@
       peer->data_centre != settings_.backends.choice.own_data_centre;
   // Round trip to the peer and processing on both ends, as measured.
   auto* lag = away ? &far_lag_ : &near_lag_;
-  query.clocks.answer_in = query.clocks.answer_in - lag->usual();
+  query.clocks.answer_in = query.clocks.answer_in - lag->typical();
   query.clocks.lags = lag->bounds;
   HttpRequest sent;
   sent.method = request.method;
--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -133,10 +133,11 @@
     const auto& shards = route.gather->shards;
     size_t reachable = 0;
     for (const auto& it : shards) {
-      reachable += backends_.HasServerInReach(it, route.homes) ? 1 : 0;
+      reachable +=
+          backends_.HasServerInReach(it, route.allowed_data_centres) ? 1 : 0;
     }
     if (reachable <
-        engine::PartsNeeded(route.gather->least_share, shards.size())) {
+        engine::PartsNeeded(route.gather->min_coverage, shards.size())) {
       return true;
     }
   }
@@ -221,18 +222,19 @@
   if (!settings_.backends.mechanisms.told_cut_off) return;
   told_useless_ = loop_->now();
   // As if a request to each data centre had been unanswered for this long.
-  prober_.SuspectAll(loop_->now() - engine::kQuiet);
+  prober_.SuspectAll(loop_->now() - engine::kSilenceThreshold);
 }
 
 // Connections and budget slack are divided among the instances that send: all
 // instances, or for shards the fan-out senders. The others keep a small share
 // for times in which no sender is available.
 void TrafficServer::ShareOut() {
-  const engine::SharePlan plan{place_.instances, peers_.senders().size(),
-                               engine::FirstSenders(peers_.senders()).size()};
-  const engine::SharePlan all_alike{place_.instances, 0, 0};
-  engine::GroupRank rank = peers_.Rank();
-  if (rank.role == engine::SenderRole::kNone) rank.rank = place_.rank;
+  const engine::SenderCounts plan{
+      place_.instances, peers_.senders().size(),
+      engine::PrimarySenders(peers_.senders()).size()};
+  const engine::SenderCounts all_alike{place_.instances, 0, 0};
+  engine::SenderRank rank = peers_.Rank();
+  if (rank.role == engine::SenderRole::kNotSender) rank.rank = place_.rank;
   std::set<ServiceId> shards;
   for (const auto& route : config_->routes) {
     if (!route.gather) continue;
@@ -242,9 +244,10 @@
     const bool is_shard = shards.contains(id);
     const auto& of = is_shard ? plan : all_alike;
     const auto own =
-        is_shard ? rank
-                 : engine::GroupRank{engine::SenderRole::kNone, place_.rank};
-    const auto share = engine::SharesOf(of, own.role);
+        is_shard
+            ? rank
+            : engine::SenderRank{engine::SenderRole::kNotSender, place_.rank};
+    const auto share = engine::ComputeShares(of, own.role);
     ServiceShare mine;
     mine.connections =
         static_cast<int>(service.max_connections * share.connections);
@@ -270,17 +273,18 @@
   backends_.SetEvacuated(places);
 }
 
-engine::RoutePace* TrafficServer::PaceOf(const engine::Route& route) {
+engine::RouteLatency* TrafficServer::PaceOf(const engine::Route& route) {
   auto& pace = paces_[route.id];
   if (!pace) {
-    pace = std::make_unique<engine::RoutePace>(engine::FirstPace(route.target));
+    pace = std::make_unique<engine::RouteLatency>(
+        engine::InitialRouteLatency(route.target));
   }
   return pace.get();
 }
 
 std::vector<ServiceId> TrafficServer::ServicesFor(const engine::Route& route) {
   if (route.gather) return route.gather->shards;
-  return {engine::NextOfSplit(route, &splits_[route.id])};
+  return {engine::NextService(route, &splits_[route.id])};
 }
 
 void TrafficServer::Refuse(HttpSession* session, const HttpRequest& request,
--- a/packages/edge/tests/cold_servers_test.cc
+++ b/packages/edge/tests/cold_servers_test.cc
@@ -25,7 +25,7 @@
   explicit Bounded(const RawServer::Script& script) {
     auto& route = AddRoute("/p/");
     route.split = {{ServiceId("s"), 1}};
-    route.repeat = engine::Repeat::kIdempotent;
+    route.idempotency = engine::Idempotency::kIdempotent;
     AddServer("s", script);
     auto& service = config().services[ServiceId("s")];
     service.cold_per_second = 10;
@@ -102,8 +102,8 @@
   TrafficFixture fixture;
   auto& route = fixture.AddRoute("/p/");
   route.split = {{ServiceId("s"), 1}};
-  route.repeat = engine::Repeat::kIdempotent;
-  route.homes = std::set<DataCentreId>{DataCentreId("home")};
+  route.idempotency = engine::Idempotency::kIdempotent;
+  route.allowed_data_centres = std::set<DataCentreId>{DataCentreId("home")};
   fixture.AddServer("s", Answers());
   fixture.AddServer("s",
                     [](auto&) { return Scripted{.text = "", .resets = true}; });
--- a/packages/edge/tests/evacuation_test.cc
+++ b/packages/edge/tests/evacuation_test.cc
@@ -27,7 +27,7 @@
   Pair(const RawServer::Script& here, const RawServer::Script& there) {
     auto& route = AddRoute("/p/");
     route.split = {{ServiceId("s"), 1}};
-    route.repeat = engine::Repeat::kIdempotent;
+    route.idempotency = engine::Idempotency::kIdempotent;
     AddServer("s", here);
     AddServer("s", there);
     entries()[1].data_centre = DataCentreId("there");
--- a/packages/edge/tests/gather_traffic_test.cc
+++ b/packages/edge/tests/gather_traffic_test.cc
@@ -19,7 +19,7 @@
                const ShardScript& script) {
   engine::GatherRule rule;
   rule.top = 3;
-  rule.least_share = least;
+  rule.min_coverage = least;
   for (size_t i = 0; i < shards; ++i) {
     const std::string service = "shard-" + std::to_string(i);
     rule.shards.emplace_back(service);
@@ -30,7 +30,7 @@
     }
   }
   auto& route = fixture->AddRoute("/g/");
-  route.repeat = engine::Repeat::kIdempotent;
+  route.idempotency = engine::Idempotency::kIdempotent;
   route.gather = rule;
   fixture->Publish();
 }
--- a/packages/edge/tests/peers_traffic_test.cc
+++ b/packages/edge/tests/peers_traffic_test.cc
@@ -27,7 +27,7 @@
   explicit TwoPlaces(const std::function<bool(size_t)>& fails = {}) {
     engine::GatherRule rule;
     rule.top = 3;
-    rule.least_share = 0.5;
+    rule.min_coverage = 0.5;
     for (size_t i = 0; i < kShards; ++i) {
       const std::string service = "shard-" + std::to_string(i);
       rule.shards.emplace_back(service);
@@ -40,7 +40,7 @@
           DataCentreId(i % 2 == 0 ? "here" : "there");
     }
     auto& route = here.AddRoute("/g/");
-    route.repeat = engine::Repeat::kIdempotent;
+    route.idempotency = engine::Idempotency::kIdempotent;
     route.gather = rule;
     here.Publish();
     here.ShareWith(&there);
@@ -93,7 +93,7 @@
 BOOST_AUTO_TEST_CASE(LostPeersPartsAreAskedForFromHere) {
   TwoPlaces places;
   engine::Peer gone = places.there.peer();
-  gone.queries.port = FreePort();
+  gone.query_address.port = FreePort();
   places.Introduce({}, {gone});
   const auto answer = places.here.Ask("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards);
@@ -139,7 +139,7 @@
     entries[i].address = entries.back().address;
     entries.pop_back();
   }
-  places.here.config().routes.back().gather->least_share = 7.0 / kShards;
+  places.here.config().routes.back().gather->min_coverage = 7.0 / kShards;
   places.here.config().routes.back().attempts = 1;
   places.here.Publish();
   places.here.ShareWith(&places.there);
@@ -213,7 +213,7 @@
 BOOST_AUTO_TEST_CASE(LostSendersQueriesAreServedHere) {
   TwoPlaces places;
   engine::Peer gone = places.there.peer();
-  gone.queries.port = FreePort();
+  gone.query_address.port = FreePort();
   places.Introduce({gone}, {});
   for (int i = 0; i < 3; ++i) {
     BOOST_TEST(StampCount(places.here.Ask("GET /g/x")) == kShards);
@@ -267,7 +267,7 @@
   TwoPlaces places;
   RawServer frozen([](auto&) { return Scripted{.text = "", .silent = true}; });
   engine::Peer sender = places.there.peer();
-  sender.queries.port = frozen.port();
+  sender.query_address.port = frozen.port();
   places.Introduce({sender}, {});
   RawClient first(places.here.port());
   first.Say(TrafficFixture::RequestText("GET /g/x"));
@@ -286,7 +286,7 @@
   TwoPlaces places;
   RawServer frozen([](auto&) { return Scripted{.text = "", .silent = true}; });
   engine::Peer sender = places.there.peer();
-  sender.queries.port = frozen.port();
+  sender.query_address.port = frozen.port();
   places.Introduce({sender}, {});
   RawClient client(places.here.port());
   client.Say(TrafficFixture::RequestText("GET /g/x"));
@@ -306,7 +306,7 @@
   for (const std::string& more :
        {std::string(), good + "Hp-Shards: 1,99\r\n",
         good + "Hp-Shards: 1,,2\r\n", good + "Hp-Shards: -1\r\n"}) {
-    RawClient client(places.there.peer().queries.port);
+    RawClient client(places.there.peer().query_address.port);
     client.Say(TrafficFixture::RequestText("GET /g/x",
                                            "Connection: close\r\n" + more));
     BOOST_TEST(client.Hear().starts_with("HTTP/1.1 409 "));
--- a/packages/edge/tests/prober_test.cc
+++ b/packages/edge/tests/prober_test.cc
@@ -21,7 +21,7 @@
   engine::Peer peer;
   peer.id = InstanceId("peer-" + std::to_string(port));
   peer.data_centre = kFar;
-  peer.queries = {"127.0.0.1", port};
+  peer.query_address = {"127.0.0.1", port};
   return peer;
 }
 
--- a/packages/edge/tests/traffic_fixture.h
+++ b/packages/edge/tests/traffic_fixture.h
@@ -58,7 +58,7 @@
     settings.queries = {"127.0.0.1", FreePort()};
     peer_.id = InstanceId(data_centre);
     peer_.data_centre = DataCentreId(data_centre);
-    peer_.queries = settings.queries;
+    peer_.query_address = settings.queries;
     settings.names = TestNames();
     settings.backends.choice.own_data_centre = DataCentreId(data_centre);
     settings.extra_slack = 10;
--- a/packages/edge/tests/traffic_test.cc
+++ b/packages/edge/tests/traffic_test.cc
@@ -27,9 +27,9 @@
 }
 
 // Adds a route "/p/" to one service.
-void AddPlain(TrafficFixture* fixture, engine::Repeat repeat) {
+void AddPlain(TrafficFixture* fixture, engine::Idempotency repeat) {
   auto& route = fixture->AddRoute("/p/");
-  route.repeat = repeat;
+  route.idempotency = repeat;
   route.split = {{ServiceId("s"), 1}};
 }
 
@@ -46,7 +46,7 @@
 
 BOOST_AUTO_TEST_CASE(PlainRequestGoesThroughUnchanged) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   auto& server = fixture.AddServer("s", Answers("stamp-1", "the body"));
   fixture.Publish();
   BOOST_TEST(IsStatus(fixture.AskReady(), 200));
@@ -69,7 +69,7 @@
 // which would reach a server that has left, or pass for an answer.
 BOOST_AUTO_TEST_CASE(ForgedHeadersOfCallersAreDropped) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   auto& server = fixture.AddServer("s", Answers("stamp-1", ""));
   fixture.Publish();
   fixture.Ask("GET /p/x", "Q-Expect: other\r\nQ-Stamp: forged\r\n");
@@ -102,7 +102,7 @@
 // would keep working for callers that are gone.
 BOOST_DATA_TEST_CASE(ServersAreToldABound, bdata::make(kDeadlines), row) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   auto& server = fixture.AddServer("s", Answers("stamp-1", ""));
   fixture.Publish();
   RawClient client(fixture.port());
@@ -164,7 +164,7 @@
 // says that it has not run.
 BOOST_DATA_TEST_CASE(WhatMayRunOnceIsNotRepeated, bdata::make(kOnce), row) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   std::atomic<size_t> arrivals{0};
   AddTwoServers(&fixture, row.first, &arrivals);
   const auto answer = fixture.Ask("POST /p/x", "Content-Length: 0\r\n");
@@ -175,7 +175,7 @@
 // The same faults with an idempotent route: the caller gets an answer.
 BOOST_DATA_TEST_CASE(WhatMayRepeatIsTriedElsewhere, bdata::make(kOnce), row) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kIdempotent);
+  AddPlain(&fixture, engine::Idempotency::kIdempotent);
   std::atomic<size_t> arrivals{0};
   AddTwoServers(&fixture, row.first, &arrivals);
   BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 200));
@@ -186,7 +186,7 @@
 // when to retry.
 BOOST_AUTO_TEST_CASE(NobodyTookIt) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", [](auto&) { return Scripted{.text = kRefusal}; });
   fixture.Publish();
   const auto answer = fixture.Ask("GET /p/x");
@@ -198,7 +198,7 @@
 // caller gets the previous caller's answer.
 BOOST_AUTO_TEST_CASE(AnswersOfOthersArePassedOver) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   const std::string late =
       "HTTP/1.1 200 OK\r\nQ-Id: zero\r\nQ-Stamp: old\r\n"
       "Content-Length: 3\r\n\r\nold";
@@ -217,7 +217,7 @@
 // reset, the reply is truncated and must not be taken for complete.
 BOOST_AUTO_TEST_CASE(AnswersWithoutALength) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   std::atomic<bool> resets{false};
   fixture.AddServer("s", [&](auto&) {
     return Scripted{.text =
@@ -236,7 +236,7 @@
 // others.
 BOOST_AUTO_TEST_CASE(CallerThatLeavesStopsItsAttempts) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kIdempotent);
+  AddPlain(&fixture, engine::Idempotency::kIdempotent);
   auto& server = fixture.AddServer(
       "s", [](auto&) { return Scripted{.text = "", .silent = true}; });
   fixture.Publish();
@@ -251,7 +251,7 @@
 // not that nothing has run.
 BOOST_AUTO_TEST_CASE(TimeUpIsAnsweredAtOnce) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s",
                     [](auto&) { return Scripted{.text = "", .silent = true}; });
   fixture.AddRoute("/q/").split = {{ServiceId("s"), 1}};
@@ -267,7 +267,7 @@
 // Operators can see the outcome of queries without reading logs.
 BOOST_AUTO_TEST_CASE(MetricsCountWhatBecameOfQueries) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", Answers("stamp-1", ""));
   fixture.Publish();
   fixture.Ask("GET /p/x");
@@ -285,7 +285,7 @@
 // An older configuration that arrives late must not come into force.
 BOOST_AUTO_TEST_CASE(ConfigurationNeverGoesBack) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", Answers("stamp-1", ""));
   fixture.Publish(7);
   fixture.OnLoop([&] {
@@ -300,7 +300,7 @@
 // balancer still sends for a while.
 BOOST_AUTO_TEST_CASE(StopCutsNothingOff) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", [](const std::string& request) {
     return Scripted{.text = GoodAnswer(request, "s", "whole"), .wait_ms = 150};
   });
@@ -322,7 +322,7 @@
 // connection instead of an answer.
 BOOST_AUTO_TEST_CASE(StopAnswersWhatCannotFinish) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s",
                     [](auto&) { return Scripted{.text = "", .silent = true}; });
   fixture.Publish();
@@ -338,7 +338,7 @@
 // The connection must be refused.
 BOOST_AUTO_TEST_CASE(NobodyIsTakenInTheLastMoment) {
   TrafficFixture fixture;
-  AddPlain(&fixture, engine::Repeat::kOnce);
+  AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", Answers("stamp-1", "x"));
   fixture.Publish();
   std::atomic<bool> done{false};
@@ -368,7 +368,7 @@
   context.names = &names;
   engine::Route route;
   route.target = Millis(80);
-  auto pace = engine::FirstPace(route.target);
+  auto pace = engine::InitialRouteLatency(route.target);
   HttpRequest request;
   request.on_the_way = row.on_the_way;
   const auto clocks = QueryRun::ClocksFor(context, route, &pace, request);
--- a/packages/engine/include/hibiscuspick/engine/cold_start.h
+++ b/packages/engine/include/hibiscuspick/engine/cold_start.h
@@ -21,8 +21,8 @@
 };
 
 // The rank of an instance, from 0, among the instances with its role.
-struct GroupRank {
-  SenderRole role = SenderRole::kNone;
+struct SenderRank {
+  SenderRole role = SenderRole::kNotSender;
   size_t rank = 0;
 };
 
@@ -30,17 +30,17 @@
 // kColdWindow. The allowances of all instances add up to less than the limit.
 // Where the limit is lower than the number of instances, those of the lowest
 // ranks get one request each and the others none.
-int ColdAllowance(const ColdLimits& limits, const SharePlan& plan,
-                  const GroupRank& own);
+int ColdAllowance(const ColdLimits& limits, const SenderCounts& counts,
+                  const SenderRank& own);
 
 // The limit applies to any second of arrivals at the server. The window exceeds
 // that second by the time that a connection setup can delay an arrival.
 inline constexpr Millis kColdWindow{1400};
 
 // Send times of the requests within the last kColdWindow.
-using SentLately = std::vector<Millis>;
+using RecentSends = std::vector<Millis>;
 
-void AddSent(SentLately* sent, Millis now);
-bool HasColdRoom(const SentLately& sent, int allowance, Millis now);
+void AddRecentSend(RecentSends* sent, Millis now);
+bool HasColdAllowance(const RecentSends& sent, int allowance, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/directory.h
+++ b/packages/engine/include/hibiscuspick/engine/directory.h
@@ -7,7 +7,7 @@
 
 #include "hibiscuspick/base/ids.h"
 #include "hibiscuspick/base/millis.h"
-#include "hibiscuspick/engine/server_belief.h"
+#include "hibiscuspick/engine/server_view.h"
 
 namespace hibiscuspick::engine {
 
@@ -18,17 +18,17 @@
 struct Directory {
   std::map<BackendServerId, ServerEntry> entries;
   // Entries that the store no longer has, and when they will be removed.
-  std::map<BackendServerId, Millis> lapsing;
+  std::map<BackendServerId, Millis> expiring;
   // Entries that go missing before this are kept for kReregistrationTime.
-  Millis doubtful_until{-1};
+  Millis grace_until{-1};
 };
 
 // How long entries may be missing after the store's return: servers register
 // again within two seconds; the rest allows for network delay.
-inline constexpr Millis kReturnTime{2200};
+inline constexpr Millis kReregistrationTime{2200};
 
 // Records that the store failed, hung or ended a watch at `now`.
-void NoteStoreTrouble(Directory* directory, Millis now);
+void RecordStoreFailure(Directory* directory, Millis now);
 
 // Replaces the entries by the store's full list. Entries that are missing from
 // it are removed as in RemoveEntry.
@@ -39,16 +39,16 @@
 void PutEntry(Directory* directory, const ServerEntry& entry);
 // Removes the entry at once. For an entry that was overwritten with an invalid
 // one: it is wrong, and not just expired.
-void DropEntry(Directory* directory, const BackendServerId& id);
+void RemoveEntryNow(Directory* directory, const BackendServerId& id);
 // Removes an entry that went missing: at once, or after kReregistrationTime if
 // the store has failed recently.
 void RemoveEntry(Directory* directory, const BackendServerId& id, Millis now);
 
 // When the next expiring entry will be removed.
-std::optional<Millis> NextLapse(const Directory& directory);
+std::optional<Millis> NextExpiry(const Directory& directory);
 
 // Removes the entries whose grace period is over. Returns true if there were
 // any.
-bool DropLapsed(Directory* directory, Millis now);
+bool RemoveExpired(Directory* directory, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/extra_budget.h
+++ b/packages/engine/include/hibiscuspick/engine/extra_attempt_budget.h
@@ -13,7 +13,7 @@
 // service, plus `slack`, extra attempts. The ratio needs no coordination, since
 // each instance counts its own requests; the slack is divided among the
 // instances.
-struct ExtraLimits {
+struct ExtraAttemptLimits {
   double ratio = 0.2;
   Millis window{10000};
   // This instance's share of the slack.
@@ -23,12 +23,12 @@
 // Sliding window of requests and extra attempts, counted in slices. A token
 // bucket would allow a full bucket and a window's refill to be spent in one
 // window, whereas the limit holds for any window.
-struct ExtraBudget {
+struct ExtraAttemptBudget {
   static constexpr size_t kSlices = 20;
   struct Slice {
     int64_t number = -1;
     uint32_t requests = 0;
-    uint32_t extras = 0;
+    uint32_t extra_attempts = 0;
   };
   std::array<Slice, kSlices + 1> slices;
 };
@@ -38,17 +38,20 @@
 // complete use what exceeds it. While no more than the reserve is left, a
 // failed attempt may get no retry, so that failing servers are given a higher
 // cost.
-inline constexpr double kKeptForNeed = 0.4;
+inline constexpr double kUrgentReserve = 0.4;
 
 // Counts a request for the service.
-void CountRequest(ExtraBudget* budget, const ExtraLimits& limits, Millis now);
+void CountRequest(ExtraAttemptBudget* budget, const ExtraAttemptLimits& limits,
+                  Millis now);
 
 // Whether the window that ends now has room for one more extra attempt while
 // the share `reserve` of the allowed number stays free for more urgent ones.
-bool HasExtra(const ExtraBudget& budget, const ExtraLimits& limits, Millis now,
-              double reserve = 0);
+bool HasExtraAttempt(const ExtraAttemptBudget& budget,
+                     const ExtraAttemptLimits& limits, Millis now,
+                     double reserve = 0);
 
 // Takes one extra attempt from the budget. Returns false if there is no room.
-bool TakeExtra(ExtraBudget* budget, const ExtraLimits& limits, Millis now);
+bool TakeExtraAttempt(ExtraAttemptBudget* budget,
+                      const ExtraAttemptLimits& limits, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/fan_out.h
+++ b/packages/engine/include/hibiscuspick/engine/fan_out.h
@@ -11,24 +11,26 @@
 namespace hibiscuspick::engine {
 
 // The expected queue wait and service time of a new query's part at a shard.
-struct ShardOutlook {
+struct ShardEstimate {
   // Wait in the queue behind the parts with earlier due times.
-  Millis wait;
+  Millis queue_wait;
   // Service time of an attempt at the shard's fastest server.
-  Millis service;
+  Millis service_time;
   // Wait of a deprioritized part, which is queued behind all others.
-  Millis wait_behind;
+  Millis deprioritized_wait;
 };
 
-inline Millis Total(const ShardOutlook& it) { return it.wait + it.service; }
+inline Millis Total(const ShardEstimate& it) {
+  return it.queue_wait + it.service_time;
+}
 
 struct FanOutPlan {
   // False if the minimum coverage can't be reached: the query fails before any
   // server has worked for it.
-  bool possible = true;
+  bool feasible = true;
   // Indices of the shards: requested at once, and requested only if others fail
   // or are late.
-  std::vector<size_t> asked;
+  std::vector<size_t> immediate;
   std::vector<size_t> deferred;
   std::vector<size_t> unreachable;
 };
@@ -39,27 +41,28 @@
 // others suffice for `needed`. It is overloaded or slow: not sending a part
 // there lets a part of another query be on time, and the shard's first attempt,
 // which costs no budget, remains available.
-FanOutPlan PlanFanOut(const std::vector<std::optional<ShardOutlook>>& outlooks,
-                      size_t needed, Millis time_left, double defer_share);
+FanOutPlan PlanFanOut(
+    const std::vector<std::optional<ShardEstimate>>& estimates, size_t needed,
+    Millis time_left, double defer_share);
 
 // The decision whether a query is started as a whole.
 struct Admission {
   bool admitted = true;
   // The query is not expected to meet its target: its parts are queued behind
   // those of queries that are.
-  bool behind = false;
+  bool deprioritized = false;
   // When the queues that delay the query will have drained.
   Millis retry_after;
   // Estimate of the shard that decided: the last one needed for the minimum
   // coverage.
-  ShardOutlook decisive;
+  ShardEstimate critical_shard;
 };
 
 // The time left of a new query, and whether it repeats one that was refused.
 struct QueryTimes {
   Millis to_target;
-  Millis to_end;
-  bool returning = false;
+  Millis to_deadline;
+  bool is_retry = false;
 };
 
 // Decides whether to admit a query, by the estimates of the shards that it
@@ -69,7 +72,7 @@
 // after the target because of queues: each admitted query would make the
 // following ones late too, and a caller that is told at once when to retry is
 // served sooner than by waiting. A caller that does retry is admitted then.
-Admission Admit(const std::vector<std::optional<ShardOutlook>>& outlooks,
+Admission Admit(const std::vector<std::optional<ShardEstimate>>& estimates,
                 size_t needed, const QueryTimes& times);
 
 // Whether a part that has just failed must be retried for the query to succeed.
@@ -78,12 +81,12 @@
 bool NeedsRetry(size_t shards, size_t failed, size_t needed);
 
 // One part of a query that has not been received yet.
-struct PartView {
-  size_t place = 0;
+struct PendingPart {
+  size_t index = 0;
   // 0 for a part that is deferred or waits in the queue.
-  int open = 0;
+  int open_attempts = 0;
   // Send time of the only open attempt.
-  Millis since;
+  Millis sent_at;
   bool deferred = false;
   // Whether the route allows a second attempt.
   bool may_hedge = false;
@@ -91,7 +94,7 @@
 
 struct HedgePlan {
   // Deferred shards to request now in place of late ones, at no extra cost.
-  std::vector<size_t> start;
+  std::vector<size_t> start_deferred;
   // Second attempts that are needed for the minimum coverage.
   std::vector<size_t> urgent;
   // Second attempts that would only make the answer more complete.
@@ -102,7 +105,7 @@
 // arrived; attempts sent before `late_before` are late. Urgent hedges are those
 // needed to reach `needed` if no late attempt ever answers; the other late
 // parts are optional, the oldest first.
-HedgePlan PlanHedges(std::vector<PartView> missing, size_t in, size_t needed,
-                     Millis late_before);
+HedgePlan PlanHedges(std::vector<PendingPart> missing, size_t received,
+                     size_t needed, Millis late_before);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/lag_meter.h
+++ b/packages/engine/include/hibiscuspick/engine/lag_meter.h
@@ -11,11 +11,11 @@
 namespace hibiscuspick::engine {
 
 // The quantiles of the recent samples that a meter computes.
-inline constexpr std::array kLagShares = {0.5, 0.8, 0.9, 0.95, 0.98};
-using LagBounds = std::array<Millis, kLagShares.size()>;
+inline constexpr std::array kLagQuantiles = {0.5, 0.8, 0.9, 0.95, 0.98};
+using LagBounds = std::array<Millis, kLagQuantiles.size()>;
 
 // The 90th percentile, used as a margin where being late costs little.
-inline Millis UsualLag(const LagBounds& bounds) { return bounds[2]; }
+inline Millis TypicalLag(const LagBounds& bounds) { return bounds[2]; }
 
 // Quantiles of the last kWindowSize samples.
 //
@@ -24,22 +24,22 @@
 // be a second late: counted in full, one such hop left no time for the next
 // hundred queries, and all of them were refused while the servers were idle.
 struct LagMeter {
-  static constexpr Millis kSurprise{10};
-  static constexpr size_t kLatest = 96;
+  static constexpr Millis kOutlierMargin{10};
+  static constexpr size_t kWindowSize = 96;
   // With fewer samples than this no quantile falls below its initial value.
-  static constexpr size_t kFew = 8;
+  static constexpr size_t kMinSamples = 8;
 
   LagMeter() = default;
   // Starts with an estimate that is used until there are samples.
-  explicit LagMeter(Millis guess) { bounds.fill(guess); }
+  explicit LagMeter(Millis initial) { bounds.fill(initial); }
 
   // The 98th percentile.
   Millis high() const { return bounds.back(); }
-  Millis usual() const { return UsualLag(bounds); }
+  Millis typical() const { return TypicalLag(bounds); }
 
   LagBounds bounds{};
-  std::array<float, kLatest> latest{};
-  size_t seen = 0;
+  std::array<float, kWindowSize> samples{};
+  size_t sample_count = 0;
 };
 
 void AddLag(LagMeter* meter, Millis sample);
--- a/packages/engine/include/hibiscuspick/engine/load_report.h
+++ b/packages/engine/include/hibiscuspick/engine/load_report.h
@@ -19,6 +19,6 @@
 // nothing for any other text: a wrong number of fields, a field that is
 // negative, not an integer or out of range, zero slots, or a percentage of
 // zero. The server is then treated as one that reports no load.
-std::optional<LoadReport> ReadLoadReport(std::string_view text);
+std::optional<LoadReport> ParseLoadReport(std::string_view text);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/peers.h
+++ b/packages/engine/include/hibiscuspick/engine/peers.h
@@ -22,10 +22,10 @@
   DataCentreId data_centre;
   // Where the peer answers polls for updates, and where it takes queries from
   // peers.
-  Address news;
-  Address queries;
+  Address update_address;
+  Address query_address;
   // The share of a CPU core that it may use.
-  double processor = 1;
+  double cpu_cores = 1;
   auto operator<=>(const Peer&) const = default;
 };
 
@@ -34,18 +34,18 @@
   std::map<InstanceId, Peer> peers;
   // Peers that didn't answer: until when they are skipped, and how often in a
   // row they have failed.
-  struct Silence {
+  struct PeerBackoff {
     Millis until;
     int failures = 0;
   };
-  std::map<InstanceId, Silence> silent;
+  std::map<InstanceId, PeerBackoff> backoffs;
   // Feature switch, see settings::Mechanisms.
-  bool few_senders = true;
+  bool use_primary_senders = true;
 };
 
 // Up to this number of instances each one watches the store itself: the calls
 // are few, and no update takes an extra hop.
-inline constexpr size_t kMostDirect = 12;
+inline constexpr size_t kMaxDirectWatchers = 12;
 
 // The interval at which an instance reads the list of instances again. A list
 // holds some 190 bytes for each instance, and each instance reads it: at a
@@ -54,14 +54,14 @@
 // instead, which keeps the traffic of an instance at 3 KB/s. With 460 instances
 // all know a new one within half a minute; until then it serves and polls the
 // others, but isn't assigned any work.
-inline constexpr size_t kListedOften = 64;
-Millis ListPause(size_t instances);
+inline constexpr size_t kFixedListIntervalInstances = 64;
+Millis ListInterval(size_t instances);
 
 // Records that a peer didn't answer: it is skipped for a time that doubles with
 // each failure, up to a bound.
-void NoteSilent(PeerTable* table, const InstanceId& peer, Millis now);
+void RecordUnresponsive(PeerTable* table, const InstanceId& peer, Millis now);
 // Records that a peer answered, which ends its backoff.
-void NoteAnswered(PeerTable* table, const InstanceId& peer);
+void RecordResponse(PeerTable* table, const InstanceId& peer);
 
 // The data centres that have instances, ordered by name.
 std::vector<DataCentreId> DataCentres(const PeerTable& table);
@@ -69,18 +69,18 @@
 // The responsive instances of a data centre, those with the largest CPU share
 // first. Equal ones are ordered by hash, so that the same few aren't first in
 // everything.
-std::vector<Peer> Ranking(const PeerTable& table, const DataCentreId& where,
-                          Millis now);
+std::vector<Peer> RankPeers(const PeerTable& table,
+                            const DataCentreId& data_centre, Millis now);
 
 // All other instances that are responsive.
-std::vector<Peer> PeersThere(const PeerTable& table, Millis now);
+std::vector<Peer> ResponsivePeers(const PeerTable& table, Millis now);
 
 // The number of instances whose ids sort before the own id.
 size_t RankById(const PeerTable& table);
 
 // A few instances of each other data centre, to probe whether it is reachable.
 // Includes unresponsive ones, since that is what the probe finds out.
-std::vector<Peer> SomeElsewhere(const PeerTable& table);
+std::vector<Peer> SampleRemotePeers(const PeerTable& table);
 
 // The instances that send fan-outs. Up to kMaxDirectWatchers instances: the
 // first in rank of each data centre. Parts then wait for a server in a single
@@ -96,11 +96,11 @@
 std::vector<Peer> FanOutSenders(const PeerTable& table, Millis now);
 
 // The first sender of each data centre. The other senders are its standbys.
-std::vector<Peer> FirstSenders(const std::vector<Peer>& senders);
+std::vector<Peer> PrimarySenders(const std::vector<Peer>& senders);
 
 // A sender that is busy for a larger share of its time leaves further queries
 // to others: above it queries begin to wait for each other.
-inline constexpr double kBusySender = 0.5;
+inline constexpr double kMaxSenderUtilisation = 0.5;
 
 // The sender that this instance hands a query to; nullptr if it sends the query
 // itself. Senders in data centres that have servers of the shards are
@@ -110,20 +110,21 @@
 // kMaxSenderUtilisation: a sender that sends all queries contacts each server
 // often enough to detect a paused or slow one before the next query. `rotation`
 // spreads queries over data centres that are equally near.
-const Peer* SenderFor(const std::vector<Peer>& senders, const Peer& own,
-                      const std::vector<DataCentreId>& shard_places,
-                      size_t turn,
-                      const std::function<double(const InstanceId&)>& busy);
+const Peer* ChooseSender(
+    const std::vector<Peer>& senders, const Peer& own,
+    const std::vector<DataCentreId>& shard_data_centres, size_t rotation,
+    const std::function<double(const InstanceId&)>& utilisation);
 
 // The senders that may get requests of a route with these allowed data centres.
-std::vector<Peer> SendersAtHome(const std::vector<Peer>& senders,
-                                const Homes& homes);
+std::vector<Peer> AllowedSenders(
+    const std::vector<Peer>& senders,
+    const AllowedDataCentres& allowed_data_centres);
 
 // Parts of one query that a peer in another data centre requests from the
 // servers near it and merges, so that only the result crosses between data
 // centres.
 struct RelayGroup {
-  DataCentreId where;
+  DataCentreId data_centre;
   // Indices of the shards in the query.
   std::vector<size_t> shards;
 };
@@ -134,9 +135,9 @@
 // shards gets all of these, then the next one; fewer than kMinRelayedShards
 // don't justify a message. `has_peer`: whether there is an instance in the data
 // centre to relay through.
-inline constexpr size_t kFewestRelayed = 3;
+inline constexpr size_t kMinRelayedShards = 3;
 std::vector<RelayGroup> GroupRelays(
-    const std::vector<std::vector<DataCentreId>>& places,
+    const std::vector<std::vector<DataCentreId>>& shard_data_centres,
     const DataCentreId& own,
     const std::function<bool(const DataCentreId&)>& has_peer);
 
@@ -146,12 +147,12 @@
 // while.
 struct RelayHealth {
   // Share of parts missing from answers, as a weighted moving average.
-  double lacking = 0;
-  Millis avoided_until{-1};
+  double missing_share = 0;
+  Millis backoff_until{-1};
 };
 
 // Records one answer and the share of its parts that were missing; 1 if there
 // was no answer.
-void NoteRelay(RelayHealth* health, double lacking, Millis now);
+void RecordRelay(RelayHealth* health, double missing_share, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/reachability.h
+++ b/packages/engine/include/hibiscuspick/engine/reachability.h
@@ -15,54 +15,54 @@
 // Silence of a data centre for this long after a request is a reason to probe
 // it. A round trip takes 2 to 6 ms. A pause of one server takes 100 to 250 ms,
 // but the other servers there answer meanwhile.
-inline constexpr Millis kQuiet{100};
+inline constexpr Millis kSilenceThreshold{100};
 
 // Duration of a probe: a connection needs one round trip, and an instance that
 // is short of processor time notices it late.
-inline constexpr Millis kProbeTime{200};
+inline constexpr Millis kProbeTimeout{200};
 
 // A probe that is evaluated later than this after its end is inconclusive: this
 // process was stalled, and answers may be waiting unread.
-inline constexpr Millis kStoodStill{40};
+inline constexpr Millis kMaxProbeOverrun{40};
 
 struct Reachability {
   // When a message was last received from the data centre.
-  Millis heard{-1};
+  Millis last_contact{-1};
   // Start of the probe in progress.
-  Millis asked{-1};
+  Millis probe_started_at{-1};
   bool probing = false;
   // Nothing sent there arrives; true until a message is received.
-  bool lost = false;
+  bool unreachable = false;
   // When it became unreachable; only valid while it is.
-  Millis lost_since{-1};
+  Millis unreachable_since{-1};
 };
 
 // Records a message from the data centre. Returns true if it had been
 // unreachable.
-bool RecordContact(Reachability* reach, Millis now);
+bool RecordContact(Reachability* reachability, Millis now);
 
 // Whether a request that was sent at `sent_at` and is unanswered is a reason to
 // probe.
-bool WantsProbe(const Reachability& reach, Millis since, Millis now);
+bool NeedsProbe(const Reachability& reachability, Millis sent_at, Millis now);
 
 // Records the start of a probe.
-void BeginProbe(Reachability* reach, Millis now);
+void BeginProbe(Reachability* reachability, Millis now);
 
-enum class ProbeEnd {
+enum class ProbeResult {
   // A message was received.
-  kThere,
+  kReachable,
   // None of the addresses answered: the data centre is, or stays, unreachable.
-  kLost,
+  kUnreachable,
   // The probe has to be repeated.
-  kUnsure,
+  kInconclusive,
 };
 // Evaluates the probe in progress.
-ProbeEnd EndProbe(Reachability* reach, Millis now);
+ProbeResult EndProbe(Reachability* reachability, Millis now);
 
 // The delay before the next probe. There is none in the first seconds of a
 // partition, so that its end is detected at once. A data centre that was shut
 // down for good, whose instances still have entries in the store, is probed
 // every five seconds.
-Millis ProbePause(const Reachability& reach, Millis now);
+Millis ProbeDelay(const Reachability& reachability, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/sender_shares.h
+++ b/packages/engine/include/hibiscuspick/engine/sender_shares.h
@@ -9,20 +9,20 @@
 
 enum class SenderRole {
   // The first sender of its data centre: sends nearly all fan-outs.
-  kFirst,
+  kPrimary,
   // Another sender: sends while the primary is busy, or until the primary's
   // loss is detected.
-  kStandIn,
+  kStandby,
   // Sends only the queries for which no sender is available. All instances have
   // this role if there are no senders.
-  kNone,
+  kNotSender,
 };
 
-struct SharePlan {
+struct SenderCounts {
   size_t instances = 1;
   size_t senders = 0;
   // The senders that are the first of their data centres.
-  size_t first_senders = 0;
+  size_t primary_senders = 0;
 };
 
 // Fractions of the whole, from 0 to 1.
@@ -35,6 +35,6 @@
 // connections than of the slack: connections can't be lent, and a standby
 // without any would open a new one for each part, whereas slack is spent where
 // the queries are.
-SenderShares SharesOf(const SharePlan& plan, SenderRole role);
+SenderShares ComputeShares(const SenderCounts& counts, SenderRole role);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/server_belief.h
+++ b/packages/engine/include/hibiscuspick/engine/server_view.h
@@ -41,7 +41,7 @@
   Millis overdue_at;
 };
 
-struct ServerBelief {
+struct ServerView {
   ServerEntry entry;
   // No longer in the directory; kept until its attempts have ended.
   bool removed = false;
@@ -54,27 +54,27 @@
   // The server has just started and is slower until then.
   Millis warm_at{-1};
   // Only maintained where requests to cold servers are limited.
-  SentLately sent_lately;
+  RecentSends recent_sends;
   PauseHistory pauses;
   // Nothing is sent before this, after a refusal or a failure.
-  Millis avoided_until;
-  int failures_in_row = 0;
-  std::vector<OpenAttempt> open;
+  Millis backoff_until;
+  int consecutive_failures = 0;
+  std::vector<OpenAttempt> open_attempts;
   // Send time of the latest attempt that has got a reply.
-  Millis replied_sent{-1};
+  Millis last_replied_sent_at{-1};
   // The number of attempts that this instance keeps open at the server; see
   // AdaptLimit.
-  double limit = 2;
+  double concurrency_limit = 2;
   // The limit is not lowered again before this.
-  Millis limit_lowered;
+  Millis next_limit_decrease;
   // Latency as a multiple of the route's median, as a weighted moving average.
-  double slowness = 1;
-  Millis slowness_at;
+  double relative_latency = 1;
+  Millis relative_latency_at;
   // Share of attempts that failed, as a weighted moving average.
-  double failing = 0;
-  Millis failing_at;
+  double failure_rate = 0;
+  Millis failure_rate_at;
   // Average time between two outcomes.
-  Millis met_every;
+  Millis outcome_interval;
 };
 
 // For the origin of each value see docs/notes/platform.md.
@@ -84,93 +84,93 @@
   // price of the traffic between data centres.
   Millis remote_cost{20};
   // Upper bound of the attempts that this instance keeps open at one server.
-  int most_open = 4;
+  int max_open_attempts = 4;
   // Half-life of the relative latency's deviation from 1.
-  Millis slowness_half_life{3000};
+  Millis relative_latency_half_life{3000};
   // Extra cost of a server with an overdue attempt.
-  Millis suspected_cost{150};
+  Millis suspected_pause_cost{150};
   // The half-life of the failure rate is `failure_half_life` or, at a server
   // that this instance uses rarely, this number of average intervals between
   // outcomes, up to `max_failure_half_life`. Otherwise the result of one
   // attempt per second would be forgotten before the next attempt.
-  double failing_half_gaps = 10;
-  Millis longest_failing_half_life{15000};
+  double failure_half_life_intervals = 10;
+  Millis max_failure_half_life{15000};
   // Half-life of the failure rate, and the extra cost of a certain failure as a
   // multiple of the median latency: about the time left of a target.
-  Millis failing_half_life{4000};
+  Millis failure_half_life{4000};
   double failure_cost = 2;
   // The failure cost while the budget allows no second attempt: the part is
   // then lost, and the whole query once it has lost more parts than the minimum
   // coverage allows.
-  double unpaid_failure_cost = 12;
+  double unbudgeted_failure_cost = 12;
   // Initial backoff after a failure, doubled for each consecutive one.
-  Millis first_avoidance{25};
-  Millis longest_avoidance{1000};
+  Millis initial_backoff{25};
+  Millis max_backoff{1000};
   // The requests that this instance may send to a cold server; see
   // ColdAllowance.
-  std::optional<int> when_cold;
+  std::optional<int> cold_allowance;
   // The pause cycle of servers of this kind; null if pauses aren't predicted.
   const PauseCycle* pause_cycle = nullptr;
   // Feature switches, see settings::Mechanisms.
-  bool learned_slowness = true;
-  bool adapted_limit = true;
-  bool pause_belief = true;
+  bool use_relative_latency = true;
+  bool adaptive_limit = true;
+  bool pause_suspicion = true;
 };
 
 // The number of attempts that may be open at the server: the concurrency limit,
 // rounded, within the policy's bounds.
-size_t OpenLimit(const ServerBelief& server, const ChoicePolicy& policy);
+size_t OpenAttemptLimit(const ServerView& server, const ChoicePolicy& policy);
 
 // Adapts the concurrency limit to the latency of a reply: raises it below
-// kRaiseLimitBelow times the median and lowers it above kLowerLimitAbove times.
+// kLowLatency times the median and lowers it above kHighLatency times.
 // Parts over the limit wait in this instance, ordered by due time, and not in
 // the server's queue, where a part of a lost query could stand before one that
 // may still be on time.
-void AdaptLimit(ServerBelief* server, double latency_factor,
+void AdaptLimit(ServerView* server, double latency_factor,
                 const ChoicePolicy& policy, Millis now);
 
 // Whether an attempt is overdue and no attempt sent later has got a reply: the
 // server may be paused, and new attempts would wait too.
-bool IsSuspected(const ServerBelief& server, Millis now);
+bool IsPauseSuspected(const ServerView& server, Millis now);
 
 // The current relative latency, after decay, including the effect of a cold
 // start.
-double SlownessNow(const ServerBelief& server, const ChoicePolicy& policy,
-                   Millis now);
+double RelativeLatency(const ServerView& server, const ChoicePolicy& policy,
+                       Millis now);
 
 // Whether the server is listed, isn't draining and accepts connections. It may
 // have no room for more attempts.
-bool IsWithinReach(const ServerBelief& server);
+bool IsAvailable(const ServerView& server);
 
 // Whether an attempt may be sent to the server now.
-bool TakesAttempt(const ServerBelief& server, const ChoicePolicy& policy,
-                  Millis now);
+bool CanAcceptAttempt(const ServerView& server, const ChoicePolicy& policy,
+                      Millis now);
 
 // The expected time of an attempt at the server plus its penalties.
 // `median_latency` is the route's.
-Millis ExpectedCost(const ServerBelief& server, const ChoicePolicy& policy,
-                    Millis usual, Millis now);
+Millis ExpectedCost(const ServerView& server, const ChoicePolicy& policy,
+                    Millis median_latency, Millis now);
 
 // The index of the server with the lowest expected cost among those that can
 // accept an attempt; nothing if there is none. The first of equal ones is
 // chosen, so that callers rotate `servers`.
-std::optional<size_t> ChooseServer(std::span<const ServerBelief* const> servers,
-                                   const ChoicePolicy& policy, Millis usual,
-                                   Millis now);
+std::optional<size_t> ChooseServer(std::span<const ServerView* const> servers,
+                                   const ChoicePolicy& policy,
+                                   Millis median_latency, Millis now);
 
 // Records an attempt that was sent to the server.
-void NoteSent(ServerBelief* server, OpenAttempt attempt);
+void RecordSent(ServerView* server, OpenAttempt attempt);
 
 // Records an attempt that was cancelled and says nothing about the server's
 // latency.
-void NoteEnded(ServerBelief* server, AttemptId attempt);
+void RecordCancelled(ServerView* server, AttemptId attempt);
 
 // Records a complete reply after `latency`. `median_latency` is the route's.
-void NoteReply(ServerBelief* server, AttemptId attempt, Millis latency,
-               Millis usual, const ChoicePolicy& policy, Millis now);
+void RecordReply(ServerView* server, AttemptId attempt, Millis latency,
+                 Millis median_latency, const ChoicePolicy& policy, Millis now);
 
 // Records an attempt that failed, was refused or broke off.
-void NoteFailure(ServerBelief* server, AttemptId attempt,
-                 const ChoicePolicy& policy, Millis now);
+void RecordFailure(ServerView* server, AttemptId attempt,
+                   const ChoicePolicy& policy, Millis now);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/include/hibiscuspick/engine/traffic_config.h
+++ b/packages/engine/include/hibiscuspick/engine/traffic_config.h
@@ -20,7 +20,7 @@
 
 // Whether a request may be sent again after an attempt whose outcome is
 // unknown.
-enum class Repeat { kIdempotent, kOnce };
+enum class Idempotency { kIdempotent, kNotIdempotent };
 
 struct WeightedService {
   ServiceId service;
@@ -29,9 +29,10 @@
 
 // The data centres that a route's requests may be sent to, as servers or as
 // other instances. All if not set.
-using Homes = std::optional<std::set<DataCentreId>>;
-inline bool IsHome(const Homes& homes, const DataCentreId& where) {
-  return !homes || homes->contains(where);
+using AllowedDataCentres = std::optional<std::set<DataCentreId>>;
+inline bool IsAllowed(const AllowedDataCentres& allowed,
+                      const DataCentreId& data_centre) {
+  return !allowed || allowed->contains(data_centre);
 }
 
 // A fan-out: one part from each shard, merged.
@@ -40,7 +41,7 @@
   // Number of records in the answer.
   size_t top = 0;
   // The share of the shards, from 0 to 1, that an answer needs.
-  double least_share = 1;
+  double min_coverage = 1;
 };
 
 struct Route {
@@ -49,7 +50,7 @@
   std::string host;
   // Begins and ends with a slash.
   std::string prefix;
-  Repeat repeat = Repeat::kOnce;
+  Idempotency idempotency = Idempotency::kNotIdempotent;
   // The longest time that a caller waits.
   Millis timeout{1000};
   // An answer is late after this time.
@@ -61,7 +62,7 @@
   // The services of plain requests; empty if `gather` is set.
   std::vector<WeightedService> split;
   std::optional<GatherRule> gather;
-  Homes homes;
+  AllowedDataCentres allowed_data_centres;
 };
 
 struct Service {
@@ -106,6 +107,6 @@
 struct SplitState {
   std::vector<double> credit;
 };
-const ServiceId& NextOfSplit(const Route& route, SplitState* state);
+const ServiceId& NextService(const Route& route, SplitState* state);
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/directory.cc
+++ b/packages/engine/src/directory.cc
@@ -4,8 +4,9 @@
 
 namespace hibiscuspick::engine {
 
-void NoteStoreTrouble(Directory* directory, Millis now) {
-  directory->doubtful_until = Max(directory->doubtful_until, now + kReturnTime);
+void RecordStoreFailure(Directory* directory, Millis now) {
+  directory->grace_until =
+      Max(directory->grace_until, now + kReregistrationTime);
 }
 
 void ReplaceAll(Directory* directory, const std::vector<ServerEntry>& listed,
@@ -24,42 +25,43 @@
 
 void PutEntry(Directory* directory, const ServerEntry& entry) {
   directory->entries[entry.id] = entry;
-  directory->lapsing.erase(entry.id);
+  directory->expiring.erase(entry.id);
 }
 
-void DropEntry(Directory* directory, const BackendServerId& id) {
+void RemoveEntryNow(Directory* directory, const BackendServerId& id) {
   directory->entries.erase(id);
-  directory->lapsing.erase(id);
+  directory->expiring.erase(id);
 }
 
 void RemoveEntry(Directory* directory, const BackendServerId& id, Millis now) {
-  if (now >= directory->doubtful_until) {
-    DropEntry(directory, id);
+  if (now >= directory->grace_until) {
+    RemoveEntryNow(directory, id);
     return;
   }
-  directory->lapsing.try_emplace(id, now + kReturnTime);
+  directory->expiring.try_emplace(id, now + kReregistrationTime);
 }
 
-std::optional<Millis> NextLapse(const Directory& directory) {
+std::optional<Millis> NextExpiry(const Directory& directory) {
   std::optional<Millis> next;
-  for (const auto& [id, due] : directory.lapsing) {
+  for (const auto& [id, due] : directory.expiring) {
     next = next ? Min(*next, due) : due;
   }
   return next;
 }
 
-bool DropLapsed(Directory* directory, Millis now) {
-  bool dropped = false;
-  for (auto it = directory->lapsing.begin(); it != directory->lapsing.end();) {
+bool RemoveExpired(Directory* directory, Millis now) {
+  bool removed = false;
+  for (auto it = directory->expiring.begin();
+       it != directory->expiring.end();) {
     if (now < it->second) {
       ++it;
       continue;
     }
     directory->entries.erase(it->first);
-    it = directory->lapsing.erase(it);
-    dropped = true;
+    it = directory->expiring.erase(it);
+    removed = true;
   }
-  return dropped;
+  return removed;
 }
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/fan_out.cc
+++ b/packages/engine/src/fan_out.cc
@@ -8,23 +8,23 @@
 // A query is late because of queues if the wait alone takes this share of its
 // time and is longer than the service. Otherwise the servers are slow or the
 // caller came late, and refusing the query improves neither.
-constexpr double kWaitShare = 0.5;
+constexpr double kMaxWaitShare = 0.5;
 
 // A query counts as in time if it is expected within this share of its target:
 // a queued part is estimated only once, and the queue before it advances in
 // steps.
-constexpr double kSureShare = 0.75;
+constexpr double kInTimeShare = 0.75;
 
 // Within a shorter time the queue hardly changes.
-constexpr Millis kSoonestReturn{50};
+constexpr Millis kMinRetryAfter{50};
 
-Millis TotalBehind(const ShardOutlook& it) {
-  return it.wait_behind + it.service;
+Millis DeprioritizedTotal(const ShardEstimate& it) {
+  return it.deprioritized_wait + it.service_time;
 }
 
 // The last shard needed for the minimum coverage, ordered by `time`.
-ShardOutlook DecisiveBy(std::vector<ShardOutlook>* shards, size_t needed,
-                        Millis (*time)(const ShardOutlook&)) {
+ShardEstimate CriticalShard(std::vector<ShardEstimate>* shards, size_t needed,
+                            Millis (*time)(const ShardEstimate&)) {
   const auto last = shards->begin() + static_cast<std::ptrdiff_t>(needed - 1);
   std::nth_element(shards->begin(), last, shards->end(),
                    [&](auto& a, auto& b) { return time(a) < time(b); });
@@ -33,49 +33,51 @@
 
 }  // namespace
 
-FanOutPlan PlanFanOut(const std::vector<std::optional<ShardOutlook>>& outlooks,
-                      size_t needed, Millis time_left, double defer_share) {
+FanOutPlan PlanFanOut(
+    const std::vector<std::optional<ShardEstimate>>& estimates, size_t needed,
+    Millis time_left, double defer_share) {
   FanOutPlan plan;
   std::vector<size_t> reachable;
-  for (size_t i = 0; i < outlooks.size(); ++i) {
-    (outlooks[i] ? reachable : plan.unreachable).push_back(i);
+  for (size_t i = 0; i < estimates.size(); ++i) {
+    (estimates[i] ? reachable : plan.unreachable).push_back(i);
   }
-  plan.possible = reachable.size() >= needed;
-  if (!plan.possible) return plan;
+  plan.feasible = reachable.size() >= needed;
+  if (!plan.feasible) return plan;
   std::stable_sort(reachable.begin(), reachable.end(), [&](size_t a, size_t b) {
-    return Total(*outlooks[a]) < Total(*outlooks[b]);
+    return Total(*estimates[a]) < Total(*estimates[b]);
   });
   const Millis bound = Max(time_left, Millis(0)) * defer_share;
   for (size_t n = 0; n < reachable.size(); ++n) {
     const size_t i = reachable[n];
-    const bool kept_back = n >= needed && Total(*outlooks[i]) > bound;
-    (kept_back ? plan.deferred : plan.asked).push_back(i);
+    const bool is_deferred = n >= needed && Total(*estimates[i]) > bound;
+    (is_deferred ? plan.deferred : plan.immediate).push_back(i);
   }
   return plan;
 }
 
-Admission Admit(const std::vector<std::optional<ShardOutlook>>& outlooks,
+Admission Admit(const std::vector<std::optional<ShardEstimate>>& estimates,
                 size_t needed, const QueryTimes& times) {
-  std::vector<ShardOutlook> reachable;
-  for (const auto& it : outlooks) {
+  std::vector<ShardEstimate> reachable;
+  for (const auto& it : estimates) {
     if (it) reachable.push_back(*it);
   }
   Admission admission;
   if (reachable.size() < needed || needed == 0) return admission;
-  const auto last = DecisiveBy(&reachable, needed, Total);
-  admission.decisive = last;
-  admission.behind = Total(last) > times.to_target * kSureShare;
-  const bool crowded = !times.returning && admission.behind &&
-                       last.wait > times.to_target * kWaitShare &&
-                       last.wait > last.service;
-  Millis end = Total(last);
-  if (admission.behind) {
-    const auto worst = DecisiveBy(&reachable, needed, TotalBehind);
-    end = Max(end, TotalBehind(worst));
+  const auto critical = CriticalShard(&reachable, needed, Total);
+  admission.critical_shard = critical;
+  admission.deprioritized = Total(critical) > times.to_target * kInTimeShare;
+  const bool queues_too_long =
+      !times.is_retry && admission.deprioritized &&
+      critical.queue_wait > times.to_target * kMaxWaitShare &&
+      critical.queue_wait > critical.service_time;
+  Millis end = Total(critical);
+  if (admission.deprioritized) {
+    const auto worst = CriticalShard(&reachable, needed, DeprioritizedTotal);
+    end = Max(end, DeprioritizedTotal(worst));
   }
-  admission.admitted = end <= times.to_end && !crowded;
+  admission.admitted = end <= times.to_deadline && !queues_too_long;
   admission.retry_after =
-      Max(kSoonestReturn, Total(last) - Max(times.to_target, Millis(0)));
+      Max(kMinRetryAfter, Total(critical) - Max(times.to_target, Millis(0)));
   return admission;
 }
 
@@ -83,30 +85,30 @@
   return shards < failed + 1 + needed;
 }
 
-HedgePlan PlanHedges(std::vector<PartView> missing, size_t in, size_t needed,
-                     Millis late_before) {
+HedgePlan PlanHedges(std::vector<PendingPart> missing, size_t received,
+                     size_t needed, Millis late_before) {
   std::stable_sort(missing.begin(), missing.end(),
-                   [](auto& a, auto& b) { return a.since < b.since; });
+                   [](auto& a, auto& b) { return a.sent_at < b.sent_at; });
   HedgePlan plan;
-  size_t hopeful = in;
-  std::vector<const PartView*> late;
+  size_t expected = received;
+  std::vector<const PendingPart*> late;
   for (const auto& it : missing) {
     if (it.deferred) continue;
-    const bool is_late = it.open == 1 && it.since <= late_before;
+    const bool is_late = it.open_attempts == 1 && it.sent_at <= late_before;
     if (!is_late) {
-      ++hopeful;
+      ++expected;
     } else if (it.may_hedge) {
       late.push_back(&it);
     }
   }
   for (const auto& it : missing) {
-    if (!it.deferred || hopeful >= needed) continue;
-    plan.start.push_back(it.place);
-    ++hopeful;
+    if (!it.deferred || expected >= needed) continue;
+    plan.start_deferred.push_back(it.index);
+    ++expected;
   }
   for (const auto* it : late) {
-    (hopeful < needed ? plan.urgent : plan.optional).push_back(it->place);
-    ++hopeful;
+    (expected < needed ? plan.urgent : plan.optional).push_back(it->index);
+    ++expected;
   }
   return plan;
 }
--- a/packages/engine/src/gather.cc
+++ b/packages/engine/src/gather.cc
@@ -15,26 +15,26 @@
 
 }  // namespace
 
-size_t PartsNeeded(double least_share, size_t shards) {
-  const double exact = least_share * static_cast<double>(shards) - kRounding;
+size_t PartsNeeded(double min_coverage, size_t shards) {
+  const double exact = min_coverage * static_cast<double>(shards) - kRounding;
   const auto needed = static_cast<size_t>(std::ceil(std::max(exact, 0.0)));
   return std::clamp<size_t>(needed, 1, std::max<size_t>(shards, 1));
 }
 
-size_t PartsNeededOfSome(double least_share, size_t shards) {
-  return static_cast<size_t>(least_share * static_cast<double>(shards) +
+size_t PartsNeededOfSubset(double min_coverage, size_t shards) {
+  return static_cast<size_t>(min_coverage * static_cast<double>(shards) +
                              kRounding);
 }
 
-GatherStep NextStep(const GatherProgress& progress, const GatherClocks& clocks,
-                    Millis now) {
-  const bool enough = progress.in >= progress.needed;
-  const size_t open = progress.shards - progress.in - progress.failed;
-  if (enough && (open == 0 || now >= clocks.answer_at)) {
+GatherStep NextStep(const GatherProgress& progress,
+                    const GatherDeadlines& deadlines, Millis now) {
+  const bool enough = progress.received >= progress.needed;
+  const size_t pending = progress.shards - progress.received - progress.failed;
+  if (enough && (pending == 0 || now >= deadlines.answer_at)) {
     return GatherStep::kAnswer;
   }
-  if (progress.in + open < progress.needed) return GatherStep::kFail;
-  if (now >= clocks.end_at) return GatherStep::kTimeUp;
+  if (progress.received + pending < progress.needed) return GatherStep::kFail;
+  if (now >= deadlines.deadline) return GatherStep::kTimedOut;
   return GatherStep::kWait;
 }
 
--- a/packages/engine/src/peers.cc
+++ b/packages/engine/src/peers.cc
@@ -10,32 +10,32 @@
 namespace hibiscuspick::engine {
 namespace {
 
-constexpr Millis kFirstSilence{2000};
-constexpr Millis kLongestSilence{10000};
+constexpr Millis kInitialBackoff{2000};
+constexpr Millis kMaxBackoff{10000};
 
 // A capable instance has at least this multiple of the smallest CPU share.
-constexpr double kAbler = 2;
+constexpr double kCapableFactor = 2;
 
 // If a pause delays one of seven parts in three of ten answers, the average is
 // 0.04; at more than twice that the servers are slow or overloaded.
-constexpr double kMostLacking = 0.1;
+constexpr double kMaxMissingShare = 0.1;
 constexpr double kAnswerWeight = 0.1;
-constexpr Millis kRelayAvoidance{2000};
+constexpr Millis kRelayBackoff{2000};
 
-bool IsThere(const PeerTable& table, const InstanceId& id, Millis now) {
+bool IsResponsive(const PeerTable& table, const InstanceId& id, Millis now) {
   if (id == table.own) return true;
-  const auto silent = table.silent.find(id);
-  return silent == table.silent.end() || now >= silent->second.until;
+  const auto backoff = table.backoffs.find(id);
+  return backoff == table.backoffs.end() || now >= backoff->second.until;
 }
 
 // Orders by CPU share, the largest first, then by hash. `peers` are ordered by
 // id, and those of equal hash stay so. The hashes are computed once for each,
 // since an instance ranks hundreds several times per second.
-std::vector<Peer> Ranked(const std::vector<const Peer*>& peers) {
+std::vector<Peer> SortByRank(const std::vector<const Peer*>& peers) {
   std::vector<std::tuple<double, uint64_t, const Peer*>> keyed;
   keyed.reserve(peers.size());
   for (const auto* it : peers) {
-    keyed.emplace_back(-it->processor, Hash(it->id.text), it);
+    keyed.emplace_back(-it->cpu_cores, Hash(it->id.text), it);
   }
   std::stable_sort(keyed.begin(), keyed.end(), [](auto& a, auto& b) {
     return std::tie(std::get<0>(a), std::get<1>(a)) <
@@ -48,10 +48,10 @@
 }
 
 // The first in rank of each data centre.
-std::vector<Peer> FirstOfEach(const PeerTable& table, Millis now) {
+std::vector<Peer> FirstInRank(const PeerTable& table, Millis now) {
   std::vector<Peer> first;
   for (const auto& it : DataCentres(table)) {
-    const auto ranking = Ranking(table, it, now);
+    const auto ranking = RankPeers(table, it, now);
     if (!ranking.empty()) first.push_back(ranking[0]);
   }
   return first;
@@ -59,14 +59,15 @@
 
 // The senders in the own data centre if that has servers of the shards, or else
 // those in data centres that have.
-std::vector<const Peer*> Nearest(const std::vector<Peer>& senders,
-                                 const Peer& own,
-                                 const std::vector<DataCentreId>& places) {
+std::vector<const Peer*> NearestSenders(
+    const std::vector<Peer>& senders, const Peer& own,
+    const std::vector<DataCentreId>& shard_data_centres) {
   const auto rank = [&](const Peer& it) {
-    const bool holds =
-        places.empty() ||
-        std::find(places.begin(), places.end(), it.data_centre) != places.end();
-    if (!holds) return 2;
+    const bool has_servers =
+        shard_data_centres.empty() ||
+        std::find(shard_data_centres.begin(), shard_data_centres.end(),
+                  it.data_centre) != shard_data_centres.end();
+    if (!has_servers) return 2;
     return it.data_centre == own.data_centre ? 0 : 1;
   };
   int best = 2;
@@ -80,23 +81,23 @@
 
 }  // namespace
 
-void NoteSilent(PeerTable* table, const InstanceId& peer, Millis now) {
-  auto& silence = table->silent[peer];
-  const Millis pause = Min(kFirstSilence * (1 << std::min(silence.failures, 4)),
-                           kLongestSilence);
-  ++silence.failures;
-  silence.until = now + pause;
+void RecordUnresponsive(PeerTable* table, const InstanceId& peer, Millis now) {
+  auto& backoff = table->backoffs[peer];
+  const Millis duration =
+      Min(kInitialBackoff * (1 << std::min(backoff.failures, 4)), kMaxBackoff);
+  ++backoff.failures;
+  backoff.until = now + duration;
 }
 
-void NoteAnswered(PeerTable* table, const InstanceId& peer) {
-  table->silent.erase(peer);
+void RecordResponse(PeerTable* table, const InstanceId& peer) {
+  table->backoffs.erase(peer);
 }
 
-Millis ListPause(size_t instances) {
-  constexpr Millis kOften{4000};
-  const double times =
-      static_cast<double>(instances) / static_cast<double>(kListedOften);
-  return kOften * std::max(1.0, times);
+Millis ListInterval(size_t instances) {
+  constexpr Millis kBaseInterval{4000};
+  const double factor = static_cast<double>(instances) /
+                        static_cast<double>(kFixedListIntervalInstances);
+  return kBaseInterval * std::max(1.0, factor);
 }
 
 std::vector<DataCentreId> DataCentres(const PeerTable& table) {
@@ -105,23 +106,23 @@
   return {all.begin(), all.end()};
 }
 
-std::vector<Peer> Ranking(const PeerTable& table, const DataCentreId& where,
-                          Millis now) {
-  std::vector<const Peer*> there;
+std::vector<Peer> RankPeers(const PeerTable& table,
+                            const DataCentreId& data_centre, Millis now) {
+  std::vector<const Peer*> responsive;
   for (const auto& [id, peer] : table.peers) {
-    if (peer.data_centre == where && IsThere(table, id, now)) {
-      there.push_back(&peer);
+    if (peer.data_centre == data_centre && IsResponsive(table, id, now)) {
+      responsive.push_back(&peer);
     }
   }
-  return Ranked(there);
+  return SortByRank(responsive);
 }
 
-std::vector<Peer> PeersThere(const PeerTable& table, Millis now) {
-  std::vector<Peer> there;
+std::vector<Peer> ResponsivePeers(const PeerTable& table, Millis now) {
+  std::vector<Peer> peers;
   for (const auto& [id, peer] : table.peers) {
-    if (id != table.own && IsThere(table, id, now)) there.push_back(peer);
+    if (id != table.own && IsResponsive(table, id, now)) peers.push_back(peer);
   }
-  return there;
+  return peers;
 }
 
 size_t RankById(const PeerTable& table) {
@@ -129,55 +130,55 @@
       std::distance(table.peers.begin(), table.peers.lower_bound(table.own)));
 }
 
-std::vector<Peer> SomeElsewhere(const PeerTable& table) {
-  constexpr size_t kSome = 3;
+std::vector<Peer> SampleRemotePeers(const PeerTable& table) {
+  constexpr size_t kPeersPerDataCentre = 3;
   // Each instance gets a different sample: while a data centre is unreachable
   // all instances probe it, five times per second.
   const auto rank = [&](const Peer& it) {
     return Hash(table.own.text + it.id.text);
   };
-  std::map<DataCentreId, std::vector<Peer>> places;
+  std::map<DataCentreId, std::vector<Peer>> by_data_centre;
   for (const auto& [id, peer] : table.peers) {
-    places[peer.data_centre].push_back(peer);
+    by_data_centre[peer.data_centre].push_back(peer);
   }
   const auto own = table.peers.find(table.own);
-  if (own != table.peers.end()) places.erase(own->second.data_centre);
-  std::vector<Peer> some;
-  for (auto& [where, there] : places) {
-    std::sort(there.begin(), there.end(),
+  if (own != table.peers.end()) by_data_centre.erase(own->second.data_centre);
+  std::vector<Peer> sample;
+  for (auto& [data_centre, peers] : by_data_centre) {
+    std::sort(peers.begin(), peers.end(),
               [&](auto& a, auto& b) { return rank(a) < rank(b); });
-    there.resize(std::min(there.size(), kSome));
-    some.insert(some.end(), there.begin(), there.end());
+    peers.resize(std::min(peers.size(), kPeersPerDataCentre));
+    sample.insert(sample.end(), peers.begin(), peers.end());
   }
-  return some;
+  return sample;
 }
 
 std::vector<Peer> FanOutSenders(const PeerTable& table, Millis now) {
-  if (!table.few_senders) return {};
-  if (table.peers.size() <= kMostDirect) return FirstOfEach(table, now);
-  double least = 1e9;
-  double most = 0;
+  if (!table.use_primary_senders) return {};
+  if (table.peers.size() <= kMaxDirectWatchers) return FirstInRank(table, now);
+  double min_cores = 1e9;
+  double max_cores = 0;
   for (const auto& [id, peer] : table.peers) {
-    least = std::min(least, peer.processor);
-    most = std::max(most, peer.processor);
+    min_cores = std::min(min_cores, peer.cpu_cores);
+    max_cores = std::max(max_cores, peer.cpu_cores);
   }
   std::vector<Peer> senders;
-  if (most < least * kAbler) return senders;
+  if (max_cores < min_cores * kCapableFactor) return senders;
   // Only these are ranked, since there may be hundreds of others.
-  std::map<DataCentreId, std::vector<const Peer*>> ablest;
+  std::map<DataCentreId, std::vector<const Peer*>> most_capable;
   for (const auto& [id, peer] : table.peers) {
-    if (peer.processor >= most && IsThere(table, id, now)) {
-      ablest[peer.data_centre].push_back(&peer);
+    if (peer.cpu_cores >= max_cores && IsResponsive(table, id, now)) {
+      most_capable[peer.data_centre].push_back(&peer);
     }
   }
-  for (const auto& [where, peers] : ablest) {
-    const auto ranked = Ranked(peers);
+  for (const auto& [data_centre, peers] : most_capable) {
+    const auto ranked = SortByRank(peers);
     senders.insert(senders.end(), ranked.begin(), ranked.end());
   }
   return senders;
 }
 
-std::vector<Peer> FirstSenders(const std::vector<Peer>& senders) {
+std::vector<Peer> PrimarySenders(const std::vector<Peer>& senders) {
   std::vector<Peer> first;
   std::set<DataCentreId> seen;
   for (const auto& it : senders) {
@@ -186,11 +187,11 @@
   return first;
 }
 
-const Peer* SenderFor(const std::vector<Peer>& senders, const Peer& own,
-                      const std::vector<DataCentreId>& shard_places,
-                      size_t turn,
-                      const std::function<double(const InstanceId&)>& busy) {
-  const auto nearest = Nearest(senders, own, shard_places);
+const Peer* ChooseSender(
+    const std::vector<Peer>& senders, const Peer& own,
+    const std::vector<DataCentreId>& shard_data_centres, size_t rotation,
+    const std::function<double(const InstanceId&)>& utilisation) {
+  const auto nearest = NearestSenders(senders, own, shard_data_centres);
   if (nearest.empty()) return nullptr;
   // The first of each data centre, beginning with a different data centre each
   // time, before the others.
@@ -200,47 +201,51 @@
   for (const auto* it : nearest) {
     (seen.insert(it->data_centre).second ? order : others).push_back(it);
   }
-  const auto by = static_cast<std::ptrdiff_t>(turn % order.size());
-  std::rotate(order.begin(), order.begin() + by, order.end());
+  const auto offset = static_cast<std::ptrdiff_t>(rotation % order.size());
+  std::rotate(order.begin(), order.begin() + offset, order.end());
   order.insert(order.end(), others.begin(), others.end());
-  auto at = std::find_if(order.begin(), order.end(),
-                         [&](auto* it) { return busy(it->id) < kBusySender; });
+  auto at = std::find_if(order.begin(), order.end(), [&](auto* it) {
+    return utilisation(it->id) < kMaxSenderUtilisation;
+  });
   if (at == order.end()) {
     at = std::min_element(order.begin(), order.end(), [&](auto* a, auto* b) {
-      return busy(a->id) < busy(b->id);
+      return utilisation(a->id) < utilisation(b->id);
     });
   }
   return (*at)->id == own.id ? nullptr : *at;
 }
 
-std::vector<Peer> SendersAtHome(const std::vector<Peer>& senders,
-                                const Homes& homes) {
-  std::vector<Peer> at_home;
-  std::copy_if(senders.begin(), senders.end(), std::back_inserter(at_home),
-               [&](auto& it) { return IsHome(homes, it.data_centre); });
-  return at_home;
+std::vector<Peer> AllowedSenders(
+    const std::vector<Peer>& senders,
+    const AllowedDataCentres& allowed_data_centres) {
+  std::vector<Peer> allowed;
+  std::copy_if(senders.begin(), senders.end(), std::back_inserter(allowed),
+               [&](auto& it) {
+                 return IsAllowed(allowed_data_centres, it.data_centre);
+               });
+  return allowed;
 }
 
 std::vector<RelayGroup> GroupRelays(
-    const std::vector<std::vector<DataCentreId>>& places,
+    const std::vector<std::vector<DataCentreId>>& shard_data_centres,
     const DataCentreId& own,
     const std::function<bool(const DataCentreId&)>& has_peer) {
   std::map<DataCentreId, std::vector<size_t>> shards_at;
-  for (size_t i = 0; i < places.size(); ++i) {
-    const auto& here = places[i];
+  for (size_t i = 0; i < shard_data_centres.size(); ++i) {
+    const auto& here = shard_data_centres[i];
     if (std::find(here.begin(), here.end(), own) != here.end()) continue;
     for (const auto& it : here) shards_at[it].push_back(i);
   }
   std::erase_if(shards_at, [&](const auto& it) { return !has_peer(it.first); });
   std::vector<RelayGroup> groups;
   while (!shards_at.empty()) {
-    const auto most = std::max_element(
+    const auto largest = std::max_element(
         shards_at.begin(), shards_at.end(),
         [](auto& a, auto& b) { return a.second.size() < b.second.size(); });
-    RelayGroup group{most->first, std::move(most->second)};
-    shards_at.erase(most);
-    if (group.shards.size() < kFewestRelayed) break;
-    for (auto& [where, shards] : shards_at) {
+    RelayGroup group{largest->first, std::move(largest->second)};
+    shards_at.erase(largest);
+    if (group.shards.size() < kMinRelayedShards) break;
+    for (auto& [data_centre, shards] : shards_at) {
       std::erase_if(shards, [&](size_t i) {
         return std::binary_search(group.shards.begin(), group.shards.end(), i);
       });
@@ -250,13 +255,14 @@
   return groups;
 }
 
-void NoteRelay(RelayHealth* health, double lacking, Millis now) {
-  health->lacking += kAnswerWeight * (lacking - health->lacking);
-  if (health->lacking <= kMostLacking) return;
-  health->avoided_until = now + kRelayAvoidance;
+void RecordRelay(RelayHealth* health, double missing_share, Millis now) {
+  health->missing_share +=
+      kAnswerWeight * (missing_share - health->missing_share);
+  if (health->missing_share <= kMaxMissingShare) return;
+  health->backoff_until = now + kRelayBackoff;
   // Halved, so that after the backoff one bad answer is enough to continue
   // without relays, and ten good ones to return to them.
-  health->lacking /= 2;
+  health->missing_share /= 2;
 }
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/reachability.cc
+++ b/packages/engine/src/reachability.cc
@@ -5,41 +5,45 @@
 
 // Partitions that last longer than this usually last for minutes, where a
 // detection delay of a twentieth of their duration is negligible.
-constexpr Millis kProbedOften{10000};
-constexpr double kPauseShare = 0.05;
-constexpr Millis kLongestPause{5000};
+constexpr Millis kContinuousProbeTime{10000};
+constexpr double kDelayFraction = 0.05;
+constexpr Millis kMaxProbeDelay{5000};
 
 }  // namespace
 
-bool RecordContact(Reachability* reach, Millis now) {
-  const bool was_lost = reach->lost;
-  reach->heard = now;
-  reach->lost = false;
-  return was_lost;
+bool RecordContact(Reachability* reachability, Millis now) {
+  const bool was_unreachable = reachability->unreachable;
+  reachability->last_contact = now;
+  reachability->unreachable = false;
+  return was_unreachable;
 }
 
-bool WantsProbe(const Reachability& reach, Millis since, Millis now) {
-  return !reach.probing && reach.heard < since && now - since >= kQuiet;
+bool NeedsProbe(const Reachability& reachability, Millis sent_at, Millis now) {
+  return !reachability.probing && reachability.last_contact < sent_at &&
+         now - sent_at >= kSilenceThreshold;
 }
 
-void BeginProbe(Reachability* reach, Millis now) {
-  reach->probing = true;
-  reach->asked = now;
+void BeginProbe(Reachability* reachability, Millis now) {
+  reachability->probing = true;
+  reachability->probe_started_at = now;
 }
 
-ProbeEnd EndProbe(Reachability* reach, Millis now) {
-  reach->probing = false;
-  if (reach->heard >= reach->asked) return ProbeEnd::kThere;
-  if (now - reach->asked > kProbeTime + kStoodStill) return ProbeEnd::kUnsure;
-  if (!reach->lost) reach->lost_since = now;
-  reach->lost = true;
-  return ProbeEnd::kLost;
+ProbeResult EndProbe(Reachability* reachability, Millis now) {
+  reachability->probing = false;
+  if (reachability->last_contact >= reachability->probe_started_at)
+    return ProbeResult::kReachable;
+  if (now - reachability->probe_started_at > kProbeTimeout + kMaxProbeOverrun)
+    return ProbeResult::kInconclusive;
+  if (!reachability->unreachable) reachability->unreachable_since = now;
+  reachability->unreachable = true;
+  return ProbeResult::kUnreachable;
 }
 
-Millis ProbePause(const Reachability& reach, Millis now) {
-  if (!reach.lost) return Millis(0);
-  const Millis beyond = now - reach.lost_since - kProbedOften;
-  return Min(Max(beyond, Millis(0)) * kPauseShare, kLongestPause);
+Millis ProbeDelay(const Reachability& reachability, Millis now) {
+  if (!reachability.unreachable) return Millis(0);
+  const Millis excess =
+      now - reachability.unreachable_since - kContinuousProbeTime;
+  return Min(Max(excess, Millis(0)) * kDelayFraction, kMaxProbeDelay);
 }
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/sender_shares.cc
+++ b/packages/engine/src/sender_shares.cc
@@ -6,28 +6,32 @@
 namespace {
 
 // Shares of all senders together, and of the standbys among them.
-constexpr SenderShares kSenders{0.8, 0.8};
-constexpr SenderShares kStandIns{0.3, 0.08};
+constexpr SenderShares kSenderTotals{0.8, 0.8};
+constexpr SenderShares kStandbyTotals{0.3, 0.08};
 
-SenderShares Each(double connections, double slack, size_t n) {
-  const auto count = static_cast<double>(std::max<size_t>(n, 1));
+SenderShares ShareEach(double connections, double slack, size_t members) {
+  const auto count = static_cast<double>(std::max<size_t>(members, 1));
   return {connections / count, slack / count};
 }
 
 }  // namespace
 
-SenderShares SharesOf(const SharePlan& plan, SenderRole role) {
-  if (plan.senders == 0) return Each(1, 1, plan.instances);
-  if (role == SenderRole::kNone) {
-    return Each(1 - kSenders.connections, 1 - kSenders.slack, plan.instances);
+SenderShares ComputeShares(const SenderCounts& counts, SenderRole role) {
+  if (counts.senders == 0) return ShareEach(1, 1, counts.instances);
+  if (role == SenderRole::kNotSender) {
+    return ShareEach(1 - kSenderTotals.connections, 1 - kSenderTotals.slack,
+                     counts.instances);
   }
-  const size_t stand_ins = plan.senders - plan.first_senders;
-  const auto left = stand_ins > 0 ? kStandIns : SenderShares{0, 0};
-  if (role == SenderRole::kStandIn) {
-    return Each(left.connections, left.slack, stand_ins);
+  const size_t standbys = counts.senders - counts.primary_senders;
+  const auto standby_totals =
+      standbys > 0 ? kStandbyTotals : SenderShares{0, 0};
+  if (role == SenderRole::kStandby) {
+    return ShareEach(standby_totals.connections, standby_totals.slack,
+                     standbys);
   }
-  return Each(kSenders.connections - left.connections,
-              kSenders.slack - left.slack, plan.first_senders);
+  return ShareEach(kSenderTotals.connections - standby_totals.connections,
+                   kSenderTotals.slack - standby_totals.slack,
+                   counts.primary_senders);
 }
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/store_retry.cc
+++ b/packages/engine/src/store_retry.cc
@@ -6,26 +6,27 @@
 namespace hibiscuspick::engine {
 namespace {
 
-constexpr Millis kFirstRetry{100};
-constexpr Millis kLongestUnreachable{400};
-constexpr Millis kLongestRefused{1000};
-constexpr double kMostSpread = 1.5;
-constexpr int kMostDoublings = 8;
+constexpr Millis kInitialRetryDelay{100};
+constexpr Millis kMaxUnreachableDelay{400};
+constexpr Millis kMaxRefusedDelay{1000};
+constexpr double kMaxJitter = 1.5;
+constexpr int kMaxDoublings = 8;
 
 }  // namespace
 
-Millis RetryPause(StoreFailure what, int failures, double spread) {
-  const int doublings = std::clamp(failures - 1, 0, kMostDoublings);
-  const Millis longest =
-      what == StoreFailure::kRefused ? kLongestRefused : kLongestUnreachable;
-  return Min(kFirstRetry * std::exp2(doublings), longest) * spread;
+Millis RetryDelay(StoreFailure failure, int failures, double jitter) {
+  const int doublings = std::clamp(failures - 1, 0, kMaxDoublings);
+  const Millis longest = failure == StoreFailure::kRefused
+                             ? kMaxRefusedDelay
+                             : kMaxUnreachableDelay;
+  return Min(kInitialRetryDelay * std::exp2(doublings), longest) * jitter;
 }
 
-Millis LongestReturn() {
-  const Millis hang = Max(kFirstWatch + kWatchSlack, kListTimeout);
+Millis MaxRecoveryTime() {
+  const Millis hang = Max(kFirstWatchWait + kWatchTimeoutMargin, kListTimeout);
   const Millis unreachable =
-      Max(hang, kStoreConnect) + kLongestUnreachable * kMostSpread;
-  return Max(unreachable, kLongestRefused * kMostSpread);
+      Max(hang, kStoreConnectTimeout) + kMaxUnreachableDelay * kMaxJitter;
+  return Max(unreachable, kMaxRefusedDelay * kMaxJitter);
 }
 
 }  // namespace hibiscuspick::engine
--- a/packages/engine/src/traffic_config.cc
+++ b/packages/engine/src/traffic_config.cc
@@ -6,7 +6,7 @@
 namespace hibiscuspick::engine {
 namespace {
 
-std::string HostName(std::string_view host) {
+std::string NormalizeHost(std::string_view host) {
   std::string name(host.substr(0, host.find(':')));
   std::transform(name.begin(), name.end(), name.begin(), [](char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
@@ -19,11 +19,11 @@
 void IndexRoutes(TrafficConfig* config) {
   config->by_host.clear();
   for (size_t i = 0; i < config->routes.size(); ++i) {
-    config->routes[i].host = HostName(config->routes[i].host);
+    config->routes[i].host = NormalizeHost(config->routes[i].host);
     config->by_host[config->routes[i].host].push_back(i);
   }
-  for (auto& [host, places] : config->by_host) {
-    std::stable_sort(places.begin(), places.end(), [&](size_t a, size_t b) {
+  for (auto& [host, indices] : config->by_host) {
+    std::stable_sort(indices.begin(), indices.end(), [&](size_t a, size_t b) {
       return config->routes[a].prefix.size() > config->routes[b].prefix.size();
     });
   }
@@ -31,16 +31,16 @@
 
 const Route* FindRoute(const TrafficConfig& config, std::string_view host,
                        std::string_view target) {
-  const auto places = config.by_host.find(HostName(host));
-  if (places == config.by_host.end()) return nullptr;
+  const auto indices = config.by_host.find(NormalizeHost(host));
+  if (indices == config.by_host.end()) return nullptr;
   const std::string_view path = target.substr(0, target.find('?'));
-  for (const size_t i : places->second) {
+  for (const size_t i : indices->second) {
     if (path.starts_with(config.routes[i].prefix)) return &config.routes[i];
   }
   return nullptr;
 }
 
-const ServiceId& NextOfSplit(const Route& route, SplitState* state) {
+const ServiceId& NextService(const Route& route, SplitState* state) {
   const size_t n = route.split.size();
   state->credit.resize(n, 0);
   double sum = 0;
--- a/packages/engine/tests/extra_budget_test.cc
+++ b/packages/engine/tests/extra_attempt_budget_test.cc
@@ -1,4 +1,4 @@
-#include "hibiscuspick/engine/extra_budget.h"
+#include "hibiscuspick/engine/extra_attempt_budget.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -9,7 +9,7 @@
 namespace hibiscuspick::engine {
 namespace {
 
-constexpr ExtraLimits kLimits{0.2, Millis(10000), 5};
+constexpr ExtraAttemptLimits kLimits{0.2, Millis(10000), 5};
 
 // The number of times within the window that ends at `end`.
 size_t CountIn(const std::deque<Millis>& instants, Millis end) {
@@ -22,9 +22,9 @@
 // servers compare the extra attempts of any ten seconds with the requests of
 // the same window, of the one before, or of the one half a window before: after
 // a burst, extra attempts for its requests are still allowed.
-BOOST_AUTO_TEST_CASE(NoWindowHoldsMoreThanAllowed) {
+BOOST_AUTO_TEST_CASE(NoWindowExceedsTheBudget) {
   Random random(7);
-  ExtraBudget budget;
+  ExtraAttemptBudget budget;
   std::deque<Millis> requests;
   std::deque<Millis> extras;
   for (double at = 0; at < 60000; at += 5) {
@@ -34,7 +34,7 @@
       CountRequest(&budget, kLimits, now);
       requests.push_back(now);
     }
-    if (!TakeExtra(&budget, kLimits, now)) continue;
+    if (!TakeExtraAttempt(&budget, kLimits, now)) continue;
     extras.push_back(now);
     size_t most = 0;
     for (const double share : {0.0, 0.5, 1.0}) {
@@ -47,26 +47,26 @@
   BOOST_TEST(extras.size() > 100);
 }
 
-BOOST_AUTO_TEST_CASE(SlackIsThereWithoutRequests) {
-  ExtraBudget budget;
+BOOST_AUTO_TEST_CASE(SlackIsAvailableWithoutRequests) {
+  ExtraAttemptBudget budget;
   int taken = 0;
-  while (TakeExtra(&budget, kLimits, Millis(100))) ++taken;
+  while (TakeExtraAttempt(&budget, kLimits, Millis(100))) ++taken;
   BOOST_TEST(taken == 5);
-  BOOST_TEST(!TakeExtra(&budget, kLimits, Millis(9000)));
-  BOOST_TEST(TakeExtra(&budget, kLimits, Millis(11000)));
+  BOOST_TEST(!TakeExtraAttempt(&budget, kLimits, Millis(9000)));
+  BOOST_TEST(TakeExtraAttempt(&budget, kLimits, Millis(11000)));
 }
 
 // Attempts that only make an answer more complete must not use up the budget
 // that a failing query needs a moment later.
-BOOST_AUTO_TEST_CASE(ReserveIsLeftToThoseInNeed) {
-  ExtraBudget budget;
+BOOST_AUTO_TEST_CASE(ReserveIsKeptForUrgentAttempts) {
+  ExtraAttemptBudget budget;
   int optional = 0;
-  while (HasExtra(budget, kLimits, Millis(0), 0.4)) {
-    TakeExtra(&budget, kLimits, Millis(0));
+  while (HasExtraAttempt(budget, kLimits, Millis(0), 0.4)) {
+    TakeExtraAttempt(&budget, kLimits, Millis(0));
     ++optional;
   }
   BOOST_TEST(optional == 3);
-  BOOST_TEST(HasExtra(budget, kLimits, Millis(0)));
+  BOOST_TEST(HasExtraAttempt(budget, kLimits, Millis(0)));
 }
 
 }  // namespace
--- a/packages/engine/tests/gather_test.cc
+++ b/packages/engine/tests/gather_test.cc
@@ -13,13 +13,13 @@
 namespace {
 
 struct NeededRow {
-  double least_share;
+  double min_coverage;
   size_t shards;
   size_t needed;
 };
 
 std::ostream& operator<<(std::ostream& out, const NeededRow& row) {
-  return out << row.least_share << " of " << row.shards;
+  return out << row.min_coverage << " of " << row.shards;
 }
 
 const NeededRow kNeeded[] = {
@@ -27,18 +27,18 @@
     {0.85, 90, 77}, {0, 20, 1},     {1, 20, 20},   {0.3, 10, 3},
 };
 
-BOOST_DATA_TEST_CASE(LeastShareIsRoundedUp, bdata::make(kNeeded), row) {
-  BOOST_TEST(PartsNeeded(row.least_share, row.shards) == row.needed);
+BOOST_DATA_TEST_CASE(MinCoverageIsRoundedUp, bdata::make(kNeeded), row) {
+  BOOST_TEST(PartsNeeded(row.min_coverage, row.shards) == row.needed);
 }
 
-const NeededRow kNeededOfSome[] = {
+const NeededRow kNeededOfSubset[] = {
     {0.95, 17, 16}, {0.95, 3, 2}, {0.85, 17, 14}, {0.95, 20, 19},
     {1, 17, 17},    {0, 5, 0},    {0.3, 10, 3},
 };
 
-BOOST_DATA_TEST_CASE(LeastShareOfAGroupAllowsOne, bdata::make(kNeededOfSome),
-                     row) {
-  BOOST_TEST(PartsNeededOfSome(row.least_share, row.shards) == row.needed);
+BOOST_DATA_TEST_CASE(MinCoverageOfASubsetIsRoundedDown,
+                     bdata::make(kNeededOfSubset), row) {
+  BOOST_TEST(PartsNeededOfSubset(row.min_coverage, row.shards) == row.needed);
 }
 
 struct StepRow {
@@ -60,12 +60,13 @@
     {"too few, target passed", {20, 18, 17, 0}, 190, GatherStep::kWait},
     {"enough after the target", {20, 18, 18, 0}, 300, GatherStep::kAnswer},
     {"too many failed", {20, 18, 10, 3}, 10, GatherStep::kFail},
-    {"deadline passed", {20, 18, 17, 0}, 2000, GatherStep::kTimeUp},
+    {"deadline passed", {20, 18, 17, 0}, 2000, GatherStep::kTimedOut},
 };
 
-BOOST_DATA_TEST_CASE(StepsByClocksAndParts, bdata::make(kSteps), row) {
-  const GatherClocks clocks{Millis(190), Millis(1990)};
-  BOOST_TEST((NextStep(row.progress, clocks, Millis(row.now)) == row.step));
+BOOST_DATA_TEST_CASE(NextStepFollowsDeadlinesAndParts, bdata::make(kSteps),
+                     row) {
+  const GatherDeadlines deadlines{Millis(190), Millis(1990)};
+  BOOST_TEST((NextStep(row.progress, deadlines, Millis(row.now)) == row.step));
 }
 
 std::string Record(char first) {
@@ -75,7 +76,7 @@
 
 // Callers compare the answer byte by byte with the greatest records of the
 // parts that it names; one record too many or too few makes it wrong.
-BOOST_AUTO_TEST_CASE(MergesGreatestFallingAndKeepsEqualOnes) {
+BOOST_AUTO_TEST_CASE(MergesInDescendingOrderAndKeepsDuplicates) {
   const std::string a = Padded('c') + Padded('a') + "short";
   const std::string b = Padded('b') + Padded('c');
   BOOST_TEST(MergeTop({a, b}, 3) == Padded('c') + Padded('c') + Padded('b'));
--- a/packages/engine/tests/lag_meter_test.cc
+++ b/packages/engine/tests/lag_meter_test.cc
@@ -9,7 +9,7 @@
 
 // Failure: every tenth answer that is sent at its scheduled time is slightly
 // late, on each hop, and loses nine tenths of its payoff.
-BOOST_AUTO_TEST_CASE(MostSamplesLieBelowIt) {
+BOOST_AUTO_TEST_CASE(MostSamplesAreBelowTheHighQuantile) {
   Random random(3);
   LagMeter meter;
   int above = 0;
@@ -22,7 +22,7 @@
   BOOST_TEST(meter.high().count < 10);
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsABurst) {
+BOOST_AUTO_TEST_CASE(BurstsAreForgotten) {
   LagMeter meter;
   for (int i = 0; i < 20; ++i) AddLag(&meter, Millis(40));
   BOOST_TEST(meter.high().count > 35);
@@ -32,7 +32,7 @@
 
 // A peer was stopped for 1.5 seconds and continues. Its callers must not be
 // refused for lack of time for the next half minute.
-BOOST_AUTO_TEST_CASE(OneStallIsNoLag) {
+BOOST_AUTO_TEST_CASE(SingleStallIsCapped) {
   LagMeter meter;
   for (int i = 0; i < 100; ++i) AddLag(&meter, Millis(2));
   AddLag(&meter, Millis(1500));
--- a/packages/engine/tests/load_report_test.cc
+++ b/packages/engine/tests/load_report_test.cc
@@ -9,14 +9,14 @@
 namespace hibiscuspick::engine {
 namespace {
 
-BOOST_AUTO_TEST_CASE(ReportsAreRead) {
-  const auto report = ReadLoadReport("2, 3,4,450");
+BOOST_AUTO_TEST_CASE(ParsesReports) {
+  const auto report = ParseLoadReport("2, 3,4,450");
   BOOST_TEST_REQUIRE(report.has_value());
   BOOST_TEST(report->running == 2);
   BOOST_TEST(report->waiting == 3);
   BOOST_TEST(report->slots == 4);
   BOOST_TEST(report->work_factor == 4.5);
-  BOOST_TEST(ReadLoadReport("0,0,8")->work_factor == 1);
+  BOOST_TEST(ParseLoadReport("0,0,8")->work_factor == 1);
 }
 
 const char* const kUnreadable[] = {
@@ -27,9 +27,8 @@
 };
 
 // Failure: a malformed load report makes a server look idle, or stuck.
-BOOST_DATA_TEST_CASE(UnreadableReportsSayNothing, bdata::make(kUnreadable),
-                     text) {
-  BOOST_TEST(!ReadLoadReport(text).has_value());
+BOOST_DATA_TEST_CASE(RejectsMalformedReports, bdata::make(kUnreadable), text) {
+  BOOST_TEST(!ParseLoadReport(text).has_value());
 }
 
 }  // namespace
--- a/packages/engine/tests/pause_cycle_test.cc
+++ b/packages/engine/tests/pause_cycle_test.cc
@@ -15,90 +15,92 @@
 namespace hibiscuspick::engine {
 namespace {
 
-constexpr Millis kUsual{8};
+constexpr Millis kExpectedLatency{8};
 constexpr size_t kServers = 90;
 // Mean time between two requests to the same server, in milliseconds.
 constexpr double kMeanGap = 66;
 
-struct Servers {
+struct ServerOptions {
   Millis period{2400};
   // Each interval between two pauses is drawn from the period times 1 - jitter
   // to 1 + jitter.
   double jitter = 0;
   // Period of the second half of the servers; 0 for the same one.
-  Millis second{0};
+  Millis second_period{0};
   // Share of attempts that are late without a pause.
-  double otherwise_late = 0.005;
+  double late_share = 0.005;
 };
 
 // What happened to one sender's requests.
-struct Met {
+struct Counts {
   size_t sent = 0;
   size_t avoided = 0;
   // Sent during a pause.
-  size_t held_up = 0;
+  size_t sent_in_pause = 0;
   // Avoided although there was no pause.
-  size_t avoided_in_vain = 0;
+  size_t wrongly_avoided = 0;
 };
 
-class Play {
+class Simulation {
  public:
-  explicit Play(const Servers& servers) : servers_(servers) {
-    for (size_t i = 0; i < kServers; ++i) StartAgain(i);
+  explicit Simulation(const ServerOptions& options) : options_(options) {
+    for (size_t i = 0; i < kServers; ++i) Restart(i);
   }
   // Restarts the server: what is known of it is dropped, and it has another
   // phase.
-  void StartAgain(size_t i) {
-    known_[i] = {};
-    next_[i] = now_ + PeriodOf(i) * random_.Fraction();
+  void Restart(size_t i) {
+    histories_[i] = {};
+    next_pause_[i] = now_ + PeriodOf(i) * random_.Fraction();
   }
-  void SetPeriod(Millis period) { servers_.period = period; }
+  void SetPeriod(Millis period) { options_.period = period; }
   const PauseCycle& cycle() const { return cycle_; }
 
-  Met Run(Millis length) {
-    Met met;
+  Counts Run(Millis length) {
+    Counts counts;
     const Millis end = now_ + length;
     const double step = kMeanGap / kServers;
     for (; now_ < end; now_ += Millis(step * 2 * random_.Fraction())) {
-      Send(random_.Below(kServers), &met);
+      Send(random_.Below(kServers), &counts);
     }
-    return met;
+    return counts;
   }
 
  private:
   // A 24th of the time.
-  Millis LengthOf(size_t i) const { return PeriodOf(i) * (1.0 / 24); }
+  Millis PauseDurationOf(size_t i) const { return PeriodOf(i) * (1.0 / 24); }
   Millis PeriodOf(size_t i) const {
-    const bool second = servers_.second > Millis(0) && i >= kServers / 2;
-    return second ? servers_.second : servers_.period;
+    const bool second = options_.second_period > Millis(0) && i >= kServers / 2;
+    return second ? options_.second_period : options_.period;
   }
-  void Send(size_t i, Met* met) {
-    const Millis length = LengthOf(i);
-    while (next_[i] + length < now_) {
-      const double drawn = 1 + servers_.jitter * (2 * random_.Fraction() - 1);
-      next_[i] += PeriodOf(i) * drawn;
+  void Send(size_t i, Counts* counts) {
+    const Millis length = PauseDurationOf(i);
+    while (next_pause_[i] + length < now_) {
+      const double factor = 1 + options_.jitter * (2 * random_.Fraction() - 1);
+      next_pause_[i] += PeriodOf(i) * factor;
     }
-    const Millis left = next_[i] + length - now_;
-    const bool pauses = left > Millis(0) && left <= length;
-    if (ExpectedPause(known_[i], cycle_, kUsual, now_) > kUsual) {
-      ++met->avoided;
-      met->avoided_in_vain += pauses ? 0 : 1;
+    const Millis left = next_pause_[i] + length - now_;
+    const bool is_paused = left > Millis(0) && left <= length;
+    if (ExpectedPauseDelay(histories_[i], cycle_, kExpectedLatency, now_) >
+        kExpectedLatency) {
+      ++counts->avoided;
+      counts->wrongly_avoided += is_paused ? 0 : 1;
       return;
     }
-    ++met->sent;
-    met->held_up += pauses ? 1 : 0;
-    Millis latency = kUsual * (0.7 + 0.6 * random_.Fraction());
-    if (pauses) latency += left;
-    if (random_.Fraction() < servers_.otherwise_late) latency += Millis(60);
-    NotePauses(&known_[i], &cycle_, latency, kUsual, now_ + latency);
+    ++counts->sent;
+    counts->sent_in_pause += is_paused ? 1 : 0;
+    Millis latency = kExpectedLatency * (0.7 + 0.6 * random_.Fraction());
+    if (is_paused) latency += left;
+    if (random_.Fraction() < options_.late_share) latency += Millis(60);
+    RecordReplyLatency(&histories_[i], &cycle_, latency, kExpectedLatency,
+                       now_ + latency);
   }
 
-  Servers servers_;
+  ServerOptions options_;
   Random random_{11};
   Millis now_{1000};
   PauseCycle cycle_;
-  std::vector<PauseHistory> known_{kServers};
-  std::vector<Millis> next_{kServers};
+  std::vector<PauseHistory> histories_{kServers};
+  std::vector<Millis> next_pause_{kServers};
 };
 
 double Share(size_t part, size_t whole) {
@@ -106,10 +108,10 @@
 }
 
 // Without prediction, 4 % of the attempts are sent during a pause.
-constexpr double kUnexpected = 0.041;
+constexpr double kPauseShare = 0.041;
 
 struct CycleRow {
-  Servers servers;
+  ServerOptions servers;
   const char* what;
 };
 
@@ -121,68 +123,68 @@
     {{}, "2.4 s"},
     {{.period = Millis(6000)}, "6 s"},
     {{.jitter = 0.001}, "2.4 s, 0.1 % jitter"},
-    {{.otherwise_late = 0.01}, "2.4 s, 1 % late for other reasons"},
+    {{.late_share = 0.01}, "2.4 s, 1 % late for other reasons"},
 };
 
 // Failure: attempts are still sent into periodic pauses.
-BOOST_DATA_TEST_CASE(PausesOnACycleAreAvoided, bdata::make(kCycles), row) {
-  Play play(row.servers);
-  play.Run(row.servers.period * 4);
-  const Met met = play.Run(Millis(60000));
-  BOOST_TEST(Share(met.held_up, met.sent) < kUnexpected / 3);
-  BOOST_TEST(Share(met.avoided_in_vain, met.sent) < 0.02);
+BOOST_DATA_TEST_CASE(PeriodicPausesAreAvoided, bdata::make(kCycles), row) {
+  Simulation simulation(row.servers);
+  simulation.Run(row.servers.period * 4);
+  const Counts counts = simulation.Run(Millis(60000));
+  BOOST_TEST(Share(counts.sent_in_pause, counts.sent) < kPauseShare / 3);
+  BOOST_TEST(Share(counts.wrongly_avoided, counts.sent) < 0.02);
 }
 
 const CycleRow kIrregular[] = {
     {{.jitter = 0.1}, "10 % jitter"},
     {{.jitter = 0.3}, "30 % jitter"},
     {{.jitter = 1}, "not periodic"},
-    {{.otherwise_late = 0.1}, "periodic, 10 % late for other reasons"},
-    {{.second = Millis(3700)}, "two periods"},
+    {{.late_share = 0.1}, "periodic, 10 % late for other reasons"},
+    {{.second_period = Millis(3700)}, "two periods"},
 };
 
 // Failure: servers whose pauses are not periodic are avoided at arbitrary
 // times, which moves their load to the others.
-BOOST_DATA_TEST_CASE(NothingIsForetoldWithoutACycle, bdata::make(kIrregular),
-                     row) {
-  Play play(row.servers);
-  const Met met = play.Run(Millis(60000));
-  BOOST_TEST(Share(met.avoided_in_vain, met.sent) < 0.02);
+BOOST_DATA_TEST_CASE(NoPredictionWithoutACycle, bdata::make(kIrregular), row) {
+  Simulation simulation(row.servers);
+  const Counts counts = simulation.Run(Millis(60000));
+  BOOST_TEST(Share(counts.wrongly_avoided, counts.sent) < 0.02);
 }
 
 // Failure: servers that restarted are avoided by the phase they had before.
-BOOST_AUTO_TEST_CASE(AnotherStartHasAnotherPhase) {
-  Play play({});
-  play.Run(Millis(20000));
-  for (size_t i = 0; i < kServers; ++i) play.StartAgain(i);
-  const Met first = play.Run(Millis(1000));
+BOOST_AUTO_TEST_CASE(RestartDropsThePhase) {
+  Simulation simulation({});
+  simulation.Run(Millis(20000));
+  for (size_t i = 0; i < kServers; ++i) simulation.Restart(i);
+  const Counts first = simulation.Run(Millis(1000));
   BOOST_TEST(Share(first.avoided, first.sent) < 0.005);
-  play.Run(Millis(5000));
-  const Met later = play.Run(Millis(20000));
-  BOOST_TEST(Share(later.held_up, later.sent) < kUnexpected / 3);
+  simulation.Run(Millis(5000));
+  const Counts later = simulation.Run(Millis(20000));
+  BOOST_TEST(Share(later.sent_in_pause, later.sent) < kPauseShare / 3);
 }
 
 // Failure: the period changes, and the old one is used forever.
-BOOST_AUTO_TEST_CASE(ChangedCyclesAreLearnedAgain) {
-  Play play({});
-  play.Run(Millis(20000));
-  play.SetPeriod(Millis(1700));
-  play.Run(Millis(60000));
-  const Met met = play.Run(Millis(40000));
-  BOOST_TEST(std::abs(play.cycle().period.count - 1700) < 5);
-  BOOST_TEST(Share(met.held_up, met.sent) < 0.03);
+BOOST_AUTO_TEST_CASE(ChangedPeriodIsLearnedAgain) {
+  Simulation simulation({});
+  simulation.Run(Millis(20000));
+  simulation.SetPeriod(Millis(1700));
+  simulation.Run(Millis(60000));
+  const Counts counts = simulation.Run(Millis(40000));
+  BOOST_TEST(std::abs(simulation.cycle().period.count - 1700) < 5);
+  BOOST_TEST(Share(counts.sent_in_pause, counts.sent) < 0.03);
 }
 
 // Failure: the latency of a slow machine is taken for pauses.
-BOOST_AUTO_TEST_CASE(SlowRepliesAreNoPauses) {
+BOOST_AUTO_TEST_CASE(SlowRepliesAreNotPauses) {
   PauseHistory server;
   PauseCycle cycle;
   for (int i = 0; i < 200; ++i) {
     const Millis now(1000 + 100 * i);
-    NotePauses(&server, &cycle, kUsual * 8, kUsual * 8, now);
+    RecordReplyLatency(&server, &cycle, kExpectedLatency * 8,
+                       kExpectedLatency * 8, now);
   }
-  BOOST_TEST(cycle.gaps_seen == 0);
-  BOOST_TEST(server.ended.count < 0);
+  BOOST_TEST(cycle.interval_count == 0);
+  BOOST_TEST(server.last_end.count < 0);
 }
 
 }  // namespace
--- a/packages/engine/tests/fleet_table.h
+++ b/packages/engine/tests/peer_table_fixture.h
@@ -11,14 +11,14 @@
 
 // `per_data_centre` instances in each of three data centres; the first
 // `capable` of each have half a core, the others an eighth.
-inline PeerTable Fleet(size_t per_place, size_t able = 0) {
+inline PeerTable MakePeerTable(size_t per_data_centre, size_t capable = 0) {
   PeerTable table;
-  for (const char* place : {"a", "b", "c"}) {
-    for (size_t i = 0; i < per_place; ++i) {
+  for (const char* data_centre : {"a", "b", "c"}) {
+    for (size_t i = 0; i < per_data_centre; ++i) {
       Peer peer;
-      peer.id = InstanceId(std::string(place) + std::to_string(i));
-      peer.data_centre = DataCentreId(place);
-      peer.processor = i < able ? 0.5 : 0.12;
+      peer.id = InstanceId(std::string(data_centre) + std::to_string(i));
+      peer.data_centre = DataCentreId(data_centre);
+      peer.cpu_cores = i < capable ? 0.5 : 0.12;
       table.peers[peer.id] = peer;
     }
   }
--- a/packages/engine/tests/queue_play_test.cc
+++ b/packages/engine/tests/queueing_simulation_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "hibiscuspick/base/random.h"
-#include "hibiscuspick/engine/server_belief.h"
+#include "hibiscuspick/engine/server_view.h"
 
 namespace hibiscuspick::engine {
 namespace {
@@ -18,17 +18,17 @@
 constexpr size_t kShards = 20;
 constexpr size_t kNeeded = 18;
 constexpr size_t kSlots = 2;
-constexpr Millis kUsual{24};
+constexpr Millis kMedianLatency{24};
 
 // A kind of query.
-struct Kind {
+struct QueryKind {
   Millis work;
   Millis target;
-  double a_second;
+  double per_second;
 };
 
-const Kind kLookup{Millis(28), Millis(190), 62};
-const Kind kUrgent{Millis(9), Millis(70), 21};
+const QueryKind kLookup{Millis(28), Millis(190), 62};
+const QueryKind kUrgent{Millis(9), Millis(70), 21};
 
 struct Query {
   Millis due;
@@ -51,10 +51,10 @@
 
 // Shards with one server each. The `senders` instances get the queries in turn;
 // each keeps its own queue for each server, ordered by due time.
-class Play {
+class Simulation {
  public:
-  explicit Play(size_t senders) : beliefs_(senders), queues_(senders) {
-    for (auto& it : beliefs_) it.resize(kShards);
+  explicit Simulation(size_t senders) : views_(senders), queues_(senders) {
+    for (auto& it : views_) it.resize(kShards);
     for (auto& it : queues_) it.resize(kShards);
     servers_.resize(kShards);
   }
@@ -63,16 +63,16 @@
     InTime share;
     std::vector<std::unique_ptr<Query>> lookups;
     std::vector<std::unique_ptr<Query>> urgent;
-    Arrive(kLookup, span, &lookups);
-    Arrive(kUrgent, span, &urgent);
+    ScheduleArrivals(kLookup, span, &lookups);
+    ScheduleArrivals(kUrgent, span, &urgent);
     while (!events_.empty()) {
       const auto event = events_.top();
       events_.pop();
       now_ = event.at;
       event.run();
     }
-    share.lookups = ShareOf(lookups);
-    share.urgent = ShareOf(urgent);
+    share.lookups = ShareInTime(lookups);
+    share.urgent = ShareInTime(urgent);
     return share;
   }
 
@@ -91,47 +91,48 @@
   };
   using Queue = std::map<std::tuple<bool, double, uint64_t>, Part>;
 
-  static double ShareOf(const std::vector<std::unique_ptr<Query>>& queries) {
+  static double ShareInTime(
+      const std::vector<std::unique_ptr<Query>>& queries) {
     const auto good =
         std::count_if(queries.begin(), queries.end(),
                       [](auto& it) { return it->in_time >= kNeeded; });
     return static_cast<double>(good) / static_cast<double>(queries.size());
   }
 
-  void At(Millis when, std::function<void()> run) {
+  void ScheduleAt(Millis when, std::function<void()> run) {
     events_.push({when, ++number_, std::move(run)});
   }
 
-  void Arrive(const Kind& kind, Millis span,
-              std::vector<std::unique_ptr<Query>>* queries) {
+  void ScheduleArrivals(const QueryKind& kind, Millis span,
+                        std::vector<std::unique_ptr<Query>>* queries) {
     constexpr double kMilli = 1000;
-    const Millis gap(kMilli / kind.a_second);
+    const Millis gap(kMilli / kind.per_second);
     for (Millis at{0}; at < span;
          at += gap * (0.2 + 1.6 * random_.Fraction())) {
       queries->push_back(std::make_unique<Query>(Query{at + kind.target}));
-      At(at, [this, query = queries->back().get(), work = kind.work] {
-        Begin(query, work);
+      ScheduleAt(at, [this, query = queries->back().get(), work = kind.work] {
+        StartQuery(query, work);
       });
     }
   }
 
-  void Begin(Query* query, Millis work) {
-    const size_t sender = turn_++ % queues_.size();
+  void StartQuery(Query* query, Millis work) {
+    const size_t sender = next_sender_++ % queues_.size();
     for (size_t i = 0; i < kShards; ++i) {
       Part part{query, i, sender, work * (0.6 + 0.8 * random_.Fraction()),
                 now_};
       part.id = AttemptId(++number_);
       queues_[sender][i].emplace(std::tuple(false, query->due.count, number_),
                                  part);
-      Pump(sender, i);
+      SendQueued(sender, i);
     }
   }
 
   // Late parts are queued behind the others, as in the queue of an instance.
-  void Pump(size_t sender, size_t shard) {
+  void SendQueued(size_t sender, size_t shard) {
     auto& queue = queues_[sender][shard];
-    auto& belief = beliefs_[sender][shard];
-    while (!queue.empty() && TakesAttempt(belief, policy_, now_)) {
+    auto& view = views_[sender][shard];
+    while (!queue.empty() && CanAcceptAttempt(view, policy_, now_)) {
       auto node = queue.extract(queue.begin());
       auto& [late, due, number] = node.key();
       if (!late && Millis(due) < now_) {
@@ -141,7 +142,7 @@
       }
       Part part = node.mapped();
       part.sent = now_;
-      NoteSent(&belief, {part.id, now_, now_ + kUsual * 4});
+      RecordSent(&view, {part.id, now_, now_ + kMedianLatency * 4});
       Serve(part);
     }
   }
@@ -153,30 +154,30 @@
       return;
     }
     ++server.busy;
-    At(now_ + part.work, [this, part] { Finish(part); });
+    ScheduleAt(now_ + part.work, [this, part] { Finish(part); });
   }
 
   void Finish(const Part& part) {
     auto& server = servers_[part.shard];
     --server.busy;
     if (now_ <= part.query->due) ++part.query->in_time;
-    NoteReply(&beliefs_[part.sender][part.shard], part.id, now_ - part.sent,
-              kUsual, policy_, now_);
+    RecordReply(&views_[part.sender][part.shard], part.id, now_ - part.sent,
+                kMedianLatency, policy_, now_);
     if (!server.waiting.empty()) {
       const Part next = server.waiting.front();
       server.waiting.pop();
       Serve(next);
     }
-    Pump(part.sender, part.shard);
+    SendQueued(part.sender, part.shard);
   }
 
   const ChoicePolicy policy_;
   Random random_{7};
   Millis now_;
   uint64_t number_ = 0;
-  size_t turn_ = 0;
+  size_t next_sender_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::vector<std::vector<ServerBelief>> beliefs_;
+  std::vector<std::vector<ServerView>> views_;
   std::vector<std::vector<Queue>> queues_;
   std::vector<Server> servers_;
 };
@@ -185,9 +186,9 @@
 // the others are loaded to 0.97 of their capacity. If five instances send, each
 // keeps an attempt open at every server, and urgent queries are late behind
 // slow ones. If one sends for all, they are not, and lookups are no worse.
-BOOST_AUTO_TEST_CASE(OneQueueKeepsUrgentQueriesInTime) {
-  const InTime apart = Play(5).Run(Millis(8000));
-  const InTime together = Play(1).Run(Millis(8000));
+BOOST_AUTO_TEST_CASE(SingleQueueKeepsUrgentQueriesInTime) {
+  const InTime apart = Simulation(5).Run(Millis(8000));
+  const InTime together = Simulation(1).Run(Millis(8000));
   BOOST_TEST_MESSAGE("share in time with five senders: lookups "
                      << apart.lookups << ", urgent " << apart.urgent
                      << "; with one: lookups " << together.lookups
--- a/packages/engine/tests/route_pace_test.cc
+++ b/packages/engine/tests/route_latency_test.cc
@@ -1,4 +1,4 @@
-#include "hibiscuspick/engine/route_pace.h"
+#include "hibiscuspick/engine/route_latency.h"
 
 #include <boost/test/data/monomorphic.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -12,20 +12,21 @@
 
 constexpr Millis kTarget{200};
 
-BOOST_AUTO_TEST_CASE(GuessesFromTheTargetUntilItKnows) {
-  RoutePace pace = FirstPace(kTarget);
-  const Millis guess = pace.hedge_after;
-  for (int i = 0; i < 15; ++i) AddLatency(&pace, Millis(20), kTarget);
-  BOOST_TEST(pace.hedge_after.count == guess.count);
-  AddLatency(&pace, Millis(20), kTarget);
-  BOOST_TEST(pace.usual.count == 20, boost::test_tools::tolerance(0.05));
+BOOST_AUTO_TEST_CASE(InitialValuesFollowTheTarget) {
+  RouteLatency route_latency = InitialRouteLatency(kTarget);
+  const Millis guess = route_latency.hedge_after;
+  for (int i = 0; i < 15; ++i) AddLatency(&route_latency, Millis(20), kTarget);
+  BOOST_TEST(route_latency.hedge_after.count == guess.count);
+  AddLatency(&route_latency, Millis(20), kTarget);
+  BOOST_TEST(route_latency.median.count == 20,
+             boost::test_tools::tolerance(0.05));
 }
 
 // If every attempt is late, the second one must start neither at once, which
 // doubles the load, nor after the target, which helps nobody.
-BOOST_AUTO_TEST_CASE(HedgesStayWithinSharesOfTheTarget) {
-  RoutePace slow = FirstPace(kTarget);
-  RoutePace fast = FirstPace(kTarget);
+BOOST_AUTO_TEST_CASE(HedgeDelayIsBoundedByTheTarget) {
+  RouteLatency slow = InitialRouteLatency(kTarget);
+  RouteLatency fast = InitialRouteLatency(kTarget);
   for (int i = 0; i < 64; ++i) {
     AddLatency(&slow, Millis(900), kTarget);
     AddLatency(&fast, Millis(1), kTarget);
@@ -36,11 +37,11 @@
 
 // A caller that was refused returns with less time. Its target runs from its
 // first attempt, so that an answer by the full target would be late for it.
-BOOST_AUTO_TEST_CASE(WhatACallerHasWaitedShowsInWhatItWillWait) {
-  RoutePace pace = FirstPace(kTarget);
-  BOOST_TEST(SpentBefore(&pace, Millis(2000)).count == 0);
-  BOOST_TEST(SpentBefore(&pace, Millis(1940)).count == 60);
-  BOOST_TEST(SpentBefore(&pace, Millis(2000)).count == 0);
+BOOST_AUTO_TEST_CASE(TimeAlreadyWaitedFollowsFromRemainingWait) {
+  RouteLatency route_latency = InitialRouteLatency(kTarget);
+  BOOST_TEST(TimeAlreadyWaited(&route_latency, Millis(2000)).count == 0);
+  BOOST_TEST(TimeAlreadyWaited(&route_latency, Millis(1940)).count == 60);
+  BOOST_TEST(TimeAlreadyWaited(&route_latency, Millis(2000)).count == 0);
 }
 
 struct AnswerRow {
@@ -75,15 +76,14 @@
 
 // Failure: answers wait for parts that don't come and are late, or are sent too
 // early and miss parts that would have come.
-BOOST_DATA_TEST_CASE(AnswersLeaveWhenTheyAreWorthMost, bdata::make(kAnswers),
-                     row) {
+BOOST_DATA_TEST_CASE(AnswerTimeMaximisesThePayoff, bdata::make(kAnswers), row) {
   const Millis target(40);
-  auto pace = FirstPace(target);
+  auto route_latency = InitialRouteLatency(target);
   for (int i = 0; i < 1000; ++i) {
     const bool is_slow = i % 10 == 0;
-    AddLatency(&pace, Millis(is_slow ? row.slow : row.fast), target);
+    AddLatency(&route_latency, Millis(is_slow ? row.slow : row.fast), target);
   }
-  const Millis at = BestAnswerTime(pace, target, row.lags);
+  const Millis at = BestAnswerTime(route_latency, target, row.lags);
   BOOST_TEST(at.count >= row.least);
   BOOST_TEST(at.count <= row.most);
 }
--- a/packages/engine/tests/store_retry_test.cc
+++ b/packages/engine/tests/store_retry_test.cc
@@ -10,26 +10,26 @@
 namespace hibiscuspick::engine {
 namespace {
 
-struct PauseRow {
+struct DelayRow {
   const char* name;
-  StoreFailure what;
+  StoreFailure failure;
   int failures;
-  double pause;
+  double delay;
 };
 
-std::ostream& operator<<(std::ostream& out, const PauseRow& it) {
+std::ostream& operator<<(std::ostream& out, const DelayRow& it) {
   return out << it.name;
 }
 
-const PauseRow kPauses[] = {
+const DelayRow kDelays[] = {
     {"first failure", StoreFailure::kUnreachable, 1, 100},
     {"second failure", StoreFailure::kUnreachable, 2, 200},
     {"long unreachable", StoreFailure::kUnreachable, 50, 400},
     {"long refused", StoreFailure::kRefused, 50, 1000},
 };
 
-BOOST_DATA_TEST_CASE(PausesGrowToABound, bdata::make(kPauses), row) {
-  BOOST_TEST(RetryPause(row.what, row.failures, 1.0).count == row.pause);
+BOOST_DATA_TEST_CASE(RetryDelaysGrowToABound, bdata::make(kDelays), row) {
+  BOOST_TEST(RetryDelay(row.failure, row.failures, 1.0).count == row.delay);
 }
 
 // An instance is cut off from the store while a server is killed. The
@@ -37,25 +37,25 @@
 // for its timeout and the retry delay, lists, and keeps the missing entry for
 // its grace period. If all this takes too long, it still sends requests to a
 // server that has ended.
-BOOST_AUTO_TEST_CASE(ACutOffInstanceKnowsOfRemovalsInTime) {
-  const Millis back = LongestReturn();
+BOOST_AUTO_TEST_CASE(CutOffInstanceLearnsOfRemovalsInTime) {
+  const Millis recovery = MaxRecoveryTime();
   Directory directory;
   ServerEntry entry;
   entry.id = BackendServerId("leaves-without-a-word");
   ReplaceAll(&directory, {entry}, Millis(-10000));
-  NoteStoreTrouble(&directory, back - Millis(1));
-  ReplaceAll(&directory, {}, back);
+  RecordStoreFailure(&directory, recovery - Millis(1));
+  ReplaceAll(&directory, {}, recovery);
   BOOST_TEST(directory.entries.contains(entry.id));
-  const auto due = NextLapse(directory);
+  const auto due = NextExpiry(directory);
   BOOST_REQUIRE(due.has_value());
-  BOOST_TEST((*due <= kKnowsAllAgainIn - Millis(100)));
-  BOOST_TEST(DropLapsed(&directory, *due));
+  BOOST_TEST((*due <= kRecoveryTimeLimit - Millis(100)));
+  BOOST_TEST(RemoveExpired(&directory, *due));
   BOOST_TEST(!directory.entries.contains(entry.id));
 }
 
 // After a store outage, healthy servers need two seconds to register again.
-BOOST_AUTO_TEST_CASE(ServersHaveTimeToWriteThemselvesInAgain) {
-  BOOST_TEST((kReturnTime >= Millis(2100)));
+BOOST_AUTO_TEST_CASE(ServersHaveTimeToRegisterAgain) {
+  BOOST_TEST((kReregistrationTime >= Millis(2100)));
 }
 
 }  // namespace
--- a/packages/engine/tests/traffic_config_test.cc
+++ b/packages/engine/tests/traffic_config_test.cc
@@ -48,7 +48,7 @@
     {"", "/a/x", ""},
 };
 
-BOOST_DATA_TEST_CASE(LongestPrefixOfTheHost, bdata::make(kFinds), row) {
+BOOST_DATA_TEST_CASE(FindsTheLongestPrefixOfTheHost, bdata::make(kFinds), row) {
   const auto config = SomeRoutes();
   const auto* route = FindRoute(config, row.host, row.target);
   BOOST_TEST((route ? route->id.text : "") == row.route);
@@ -63,7 +63,7 @@
   SplitState state;
   std::map<ServiceId, int> counts;
   for (int n = 1; n <= 300; ++n) {
-    ++counts[NextOfSplit(route, &state)];
+    ++counts[NextService(route, &state)];
     for (const auto& it : route.split) {
       BOOST_TEST(std::abs(counts[it.service] - it.weight * n) <= 1.0);
     }
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -28,7 +28,7 @@
 
 
 # Runs with an even seed have the larger fleet, in which instances hear of the store
-# from each other; see engine::kMostDirect.
+# from each other; see engine::kMaxDirectWatchers.
 FEW, MANY = 6, 14
 
 
