--- a/packages/edge/include/hibiscuspick/edge/backends.h
+++ b/packages/edge/include/hibiscuspick/edge/backends.h
@@ -40,35 +40,35 @@
   // Estimates of the server instance that ran the attempt. Another server may
   // meanwhile be listed under the same id; this result must not be charged to
   // it.
-  std::shared_ptr<engine::ServerView> belief;
+  std::shared_ptr<engine::ServerView> view;
   AttemptEnd end = AttemptEnd::kNotSent;
   HttpReply reply;
   // Measured from the moment the request was sent.
   Millis latency;
 };
 
-struct AttemptOrder {
+struct AttemptSpec {
   ServiceId service;
   // The service whose budget of extra attempts pays for a second attempt.
-  ServiceId budget_of;
+  ServiceId budget_service;
   // Typical latency of an attempt on this route, and the age at which an
   // unanswered attempt makes its server suspect.
-  Millis usual;
+  Millis median_latency;
   Millis overdue_after;
   // Servers that must not get this attempt.
   std::vector<BackendServerId> excluded;
   // Data centres the route is restricted to; null for all. Owned by the route,
   // which outlives the attempt.
-  const engine::AllowedDataCentres* homes = nullptr;
+  const engine::AllowedDataCentres* allowed_data_centres = nullptr;
   // Skips servers that are suspected of a pause.
-  bool only_unsuspected = false;
+  bool skip_suspected = false;
   // Returns the serialised request for the given server.
-  std::function<std::string(const BackendServerId&)> text_for;
-  bool to_head = false;
+  std::function<std::string(const BackendServerId&)> serialize_for;
+  bool is_head = false;
   // The request must not run twice, so it is sent only on connections that are
   // unlikely to have been closed by the server.
-  bool once = false;
-  HttpChannel::IsOurs is_ours;
+  bool not_idempotent = false;
+  HttpChannel::ReplyFilter accepts_reply;
   std::function<void(AttemptResult)> on_end;
 };
 
@@ -80,7 +80,7 @@
   double slack = 0;
   // Maximum requests to a cold server within engine::kColdWindow; unset for no
   // limit.
-  std::optional<int> when_cold;
+  std::optional<int> cold_allowance;
   // How long a server that may be cold, but does not report it, is treated as
   // cold.
   Millis warmup;
@@ -94,11 +94,11 @@
   settings::Mechanisms mechanisms;
   // Parameters of the budget of extra attempts; the slack is set for each
   // service.
-  engine::ExtraAttemptLimits extra;
+  engine::ExtraAttemptLimits extra_attempt_limits;
   Millis connect_timeout{300};
   // Interval between connection attempts to an unreachable server.
   Millis probe_interval{300};
-  size_t reply_bytes = 8 << 20;
+  size_t max_reply_bytes = 8 << 20;
 };
 
 // An attempt that is in flight.
@@ -110,18 +110,18 @@
 // Sort key of a waiting part: overdue or deprioritized parts come last, then
 // earlier due times first, then higher priority (lower number), then arrival
 // order.
-using WaitKey = std::tuple<bool, double, int, uint64_t>;
+using QueueKey = std::tuple<bool, double, int, uint64_t>;
 
-struct Waiting {
+struct QueuedPart {
   int priority = 0;
   Millis due;
   // Not expected to finish by `due`, so it waits after the parts that are.
-  bool behind = false;
+  bool deprioritized = false;
   // Called with the new key when the part is moved within the queue.
-  std::function<void(const WaitKey&)> key_changed;
+  std::function<void(const QueueKey&)> on_key_changed;
   // Tries to start the part. Returns true if it was started or is no longer
   // needed, which removes it from the queue.
-  std::function<bool()> start;
+  std::function<bool()> try_start;
 };
 
 class Backends {
@@ -134,7 +134,7 @@
   void SetServers(const std::vector<engine::ServerEntry>& entries);
   // Excludes the servers in these data centres from attempts and probes.
   // Attempts already in flight there may finish.
-  void SetEvacuated(std::set<DataCentreId> places);
+  void SetEvacuated(std::set<DataCentreId> data_centres);
   const std::set<DataCentreId>& evacuated() const { return evacuated_; }
   // Whether all servers of the service that are neither removed nor draining
   // are in evacuated data centres.
@@ -143,7 +143,7 @@
 
   // Starts an attempt on the best server; nullopt if no server can take one
   // now.
-  std::optional<StartedAttempt> TryStart(AttemptOrder order);
+  std::optional<StartedAttempt> TryStart(AttemptSpec spec);
 
   // Drops an attempt whose result is no longer needed; `on_end` will not be
   // called. With `stop_server` the connection is closed so that the server
@@ -152,36 +152,38 @@
   void Abandon(AttemptId id, bool stop_server);
 
   // Queues a part until a server of the service has a free slot.
-  WaitKey Enqueue(const ServiceId& service, Waiting waiting);
-  void Withdraw(const ServiceId& service, const WaitKey& key);
+  QueueKey Enqueue(const ServiceId& service, QueuedPart part);
+  void RemoveQueued(const ServiceId& service, const QueueKey& key);
 
   // Whether the service's budget allows one more extra attempt while the share
   // `reserve` of the budget stays available for others.
-  bool HasExtra(const ServiceId& service, double reserve);
-  void TakeExtra(const ServiceId& service);
+  bool HasExtraAttempt(const ServiceId& service, double reserve);
+  void TakeExtraAttempt(const ServiceId& service);
   void CountRequest(const ServiceId& service);
   const BackendsPolicy& policy() const { return policy_; }
   size_t open_attempts() const { return attempts_.size(); }
-  bool HasServerInReach(const ServiceId& service,
-                        const engine::AllowedDataCentres& homes) const;
+  bool HasAvailableServer(
+      const ServiceId& service,
+      const engine::AllowedDataCentres& allowed_data_centres) const;
   // Estimates queueing and service time of a part due at `due`; nullopt if none
   // of the service's servers is reachable.
-  std::optional<engine::ShardEstimate> Outlook(
-      const ServiceId& service, Millis usual, Millis due,
-      const engine::AllowedDataCentres& homes) const;
+  std::optional<engine::ShardEstimate> EstimateShard(
+      const ServiceId& service, Millis median_latency, Millis due,
+      const engine::AllowedDataCentres& allowed_data_centres) const;
   // Incremented whenever the result of DataCentresOf may have changed.
   uint64_t generation() const { return generation_; }
   // The data centres that have servers of nearly all of the services.
-  std::vector<DataCentreId> PlacesOf(
+  std::vector<DataCentreId> DataCentresOf(
       const std::vector<ServiceId>& services,
-      const engine::AllowedDataCentres& homes) const;
+      const engine::AllowedDataCentres& allowed_data_centres) const;
   // The data centres with at least one server of the service that is reachable
   // and not suspected of a pause.
-  std::vector<DataCentreId> PlacesOfService(
-      const ServiceId& service, const engine::AllowedDataCentres& homes) const;
+  std::vector<DataCentreId> DataCentresOfService(
+      const ServiceId& service,
+      const engine::AllowedDataCentres& allowed_data_centres) const;
   // Addresses of servers in a data centre that may be reachable, rotated on
   // each call so that the first is not always the same.
-  std::vector<Address> AddressesIn(const DataCentreId& where);
+  std::vector<Address> ServerAddressesIn(const DataCentreId& data_centre);
   // Whether this instance's data centre is cut off: no other data centre is
   // reachable, or all attempts at servers elsewhere have failed for a while.
   bool IsCutOff() const;
@@ -190,18 +192,18 @@
   // centre is reached. An instance that forwards its queries makes few attempts
   // of its own, and without the report would refuse many callers before it
   // noticed the cut.
-  void NoteToldCutOff() {
-    if (policy_.mechanisms.told_cut_off) told_cut_off_ = loop_->now();
+  void RecordCutOffReport() {
+    if (policy_.mechanisms.told_cut_off) cut_off_reported_at_ = loop_->now();
   }
-  bool IsToldCutOff() const;
+  bool IsReportedCutOff() const;
 
   // Handles a reply 421 Misdirected Request: another server now has this
   // address.
-  void NoteForeign(const AttemptResult& result);
-  void NoteFailure(const AttemptResult& result);
-  void NoteReply(const AttemptResult& result, Millis usual);
+  void RecordMisdirected(const AttemptResult& result);
+  void RecordFailure(const AttemptResult& result);
+  void RecordReply(const AttemptResult& result, Millis median_latency);
   // Records the remaining warm-up time that the server reported.
-  void NoteWarmup(const AttemptResult& result, Millis left);
+  void RecordWarmup(const AttemptResult& result, Millis left);
 
  private:
   struct Server;
@@ -210,43 +212,44 @@
 
   ServiceState& StateOf(const ServiceId& service);
   engine::ExtraAttemptLimits LimitsOf(const ServiceState& state) const;
-  Server* Choose(const AttemptOrder& order);
-  std::shared_ptr<HttpChannel> TakeIdle(Server* server, bool once);
-  void OpenFor(const std::shared_ptr<Server>& server, AttemptId id);
-  void SendOn(const std::shared_ptr<HttpChannel>& channel, AttemptId id);
+  Server* ChooseServer(const AttemptSpec& spec);
+  std::shared_ptr<HttpChannel> TakeIdleChannel(Server* server,
+                                               bool not_idempotent);
+  void ConnectFor(const std::shared_ptr<Server>& server, AttemptId id);
+  void SendOnChannel(const std::shared_ptr<HttpChannel>& channel, AttemptId id);
   void OnReply(AttemptId id, ExchangeEnd end, HttpReply reply);
   void EndAttempt(AttemptId id, AttemptEnd end, HttpReply reply);
   void KeepChannel(const std::shared_ptr<Server>& server,
                    const std::shared_ptr<HttpChannel>& channel);
   bool IsEvacuated(const Server& server) const;
-  bool IsInReach(const Server& server) const;
+  bool IsAvailable(const Server& server) const;
   // Whether the server is reachable and in a data centre that the route allows.
   bool MayServe(const Server& server,
-                const engine::AllowedDataCentres& homes) const;
+                const engine::AllowedDataCentres& allowed_data_centres) const;
   // Treats a server that became reachable again as cold until it reports
   // otherwise.
-  void TakeForCold(Server* server);
+  void AssumeCold(Server* server);
   void RecordContact(Server* server);
-  void NoteUnheard(const Server& server);
-  void Probe(const std::shared_ptr<Server>& server);
-  void LookForSilence();
-  void DoubtSilent(const std::shared_ptr<Server>& server, Millis since);
+  void CountRemoteFailure(const Server& server);
+  void ScheduleProbe(const std::shared_ptr<Server>& server);
+  void CheckSilentServers();
+  void SuspectIfSilent(const std::shared_ptr<Server>& server, Millis since);
   std::shared_ptr<Server> AddServer(const engine::ServerEntry& entry);
   void RemoveServer(const std::shared_ptr<Server>& server);
-  void Retire(const std::shared_ptr<Server>& server);
-  void Forget(const std::shared_ptr<Server>& server);
-  void JoinPauseCycle(ServiceState* state, const ServiceId& kind);
-  void PumpSoon(const ServiceId& service);
-  void Pump(ServiceState* state);
-  void DemoteLate(ServiceState* state);
+  void CloseIdleChannels(const std::shared_ptr<Server>& server);
+  void EraseIfUnused(const std::shared_ptr<Server>& server);
+  void JoinPauseCycle(ServiceState* state, const ServiceId& budget_service);
+  void ScheduleDispatch(const ServiceId& service);
+  void DispatchQueue(ServiceState* state);
+  void DeprioritizeOverdue(ServiceState* state);
 
-  static constexpr Millis kToldCutOff{4000};
+  static constexpr Millis kCutOffReportTtl{4000};
 
   Loop* const loop_;
   const BackendsPolicy policy_;
   Prober* const prober_;
   // When the sender of this data centre last reported that it is cut off.
-  std::optional<Millis> told_cut_off_;
+  std::optional<Millis> cut_off_reported_at_;
   std::set<DataCentreId> evacuated_;
   uint64_t generation_ = 0;
   std::unordered_map<BackendServerId, std::shared_ptr<Server>> servers_;
@@ -257,12 +260,12 @@
       pause_cycles_;
   // Time of the last contact with a server in another data centre, and the
   // number of failed attempts at such servers since.
-  Millis remote_heard_;
+  Millis last_remote_contact_;
   int remote_failures_ = 0;
-  Loop::TimerId sweep_ = 0;
-  uint64_t last_attempt_ = 0;
-  uint64_t last_wait_ = 0;
-  size_t probed_ = 0;
+  Loop::TimerId silence_timer_ = 0;
+  uint64_t last_attempt_id_ = 0;
+  uint64_t last_queue_number_ = 0;
+  size_t address_rotation_ = 0;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/early_requests.h
+++ b/packages/edge/include/hibiscuspick/edge/early_requests.h
@@ -29,7 +29,7 @@
   EarlyRequests(Loop* loop, std::string deadline_header, Serve serve);
 
   // Starts holding; called when the instance starts listening.
-  void Begin();
+  void StartHolding();
   // Holds the request, moving from it, and returns true; returns false if
   // holding has ended or too many are held.
   bool Hold(const std::shared_ptr<HttpSession>& session, HttpRequest* request);
@@ -37,17 +37,17 @@
   void Release();
 
  private:
-  struct Held {
+  struct HeldRequest {
     std::shared_ptr<HttpSession> session;
     HttpRequest request;
-    Millis came;
+    Millis arrived_at;
   };
 
   Loop* const loop_;
   const std::string deadline_header_;
   const Serve serve_;
   bool holding_ = false;
-  std::vector<Held> held_;
+  std::vector<HeldRequest> held_;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/http_channel.h
+++ b/packages/edge/include/hibiscuspick/edge/http_channel.h
@@ -28,7 +28,7 @@
   using OnReply = std::function<void(ExchangeEnd, HttpReply)>;
   // Whether a reply belongs to the request in flight. Other replies are
   // skipped, and the channel is closed after the matching one.
-  using IsOurs = std::function<bool(const HttpReply&)>;
+  using ReplyFilter = std::function<bool(const HttpReply&)>;
 
   explicit HttpChannel(Loop* loop);
 
@@ -37,9 +37,9 @@
 
   struct Exchange {
     std::string text;
-    bool to_head = false;
-    size_t reply_bytes = 0;
-    IsOurs is_ours;
+    bool is_head = false;
+    size_t max_reply_bytes = 0;
+    ReplyFilter accepts_reply;
     OnReply on_reply;
   };
   // Sends a request; requires IsIdle(). `on_reply` is called once, unless the
@@ -56,17 +56,17 @@
   void OnBytes(std::string_view bytes);
   void OnEnd(StreamEnd how);
   void Finish(ExchangeEnd end, HttpReply reply);
-  bool TakeReply();
+  bool ParseReply();
 
   Loop* const loop_;
   std::shared_ptr<ByteStream> stream_;
-  std::string in_;
+  std::string buffer_;
   std::unique_ptr<ReplyReader> reader_;
   Exchange exchange_;
   Millis idle_since_;
   bool open_ = false;
   bool busy_ = false;
-  bool tainted_ = false;
+  bool skipped_reply_ = false;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/http_message.h
+++ b/packages/edge/include/hibiscuspick/edge/http_message.h
@@ -26,7 +26,7 @@
   std::string body;
   // Network time between the caller and this instance that counts against the
   // caller's deadline (request and reply); unset if unknown.
-  std::optional<Millis> on_the_way;
+  std::optional<Millis> network_time;
   // Whether the connection can be reused, by HTTP version and Connection
   // header.
   bool keep_alive = true;
@@ -42,7 +42,7 @@
 };
 
 // Compares header names, ignoring ASCII case.
-bool SameName(std::string_view a, std::string_view b);
+bool EqualsIgnoreCase(std::string_view a, std::string_view b);
 
 // Value of the first header of that name; empty if there is none.
 std::string_view FindHeader(const std::vector<Header>& headers,
@@ -52,12 +52,12 @@
 std::vector<std::string_view> SplitList(std::string_view list);
 
 // Parses a decimal integer; nullopt unless the whole text is one.
-std::optional<int64_t> WholeNumber(std::string_view text);
+std::optional<int64_t> ParseInteger(std::string_view text);
 
 // Whether the header applies to a single connection or to message framing.
 // EndToEndHeaders also drops the headers named by `Connection`.
 bool IsHopByHop(std::string_view name);
-std::vector<Header> EndToEnd(const std::vector<Header>& headers);
+std::vector<Header> EndToEndHeaders(const std::vector<Header>& headers);
 
 // State of a reader. The errors correspond to a status: 400 for a malformed
 // message, 431 for too large headers, 413 for too large a body.
@@ -79,7 +79,7 @@
   // Whether any byte has been consumed.
   bool started() const;
   // Whether the headers are complete and contain `Expect: 100-continue`.
-  bool WantsContinue() const;
+  bool ExpectsContinue() const;
   // Returns the request; call once, after kDone.
   HttpRequest Take();
 
@@ -92,7 +92,7 @@
 class ReplyReader {
  public:
   // `is_head`: the reply is to a HEAD request and has no body.
-  ReplyReader(bool to_head, size_t body_bytes);
+  ReplyReader(bool is_head, size_t body_bytes);
   ~ReplyReader();
   ReplyReader(const ReplyReader&) = delete;
   ReplyReader& operator=(const ReplyReader&) = delete;
@@ -114,9 +114,9 @@
 
 // Serialises a reply with Content-Length. `closes` adds `Connection: close`;
 // `is_head` omits the body.
-std::string ToText(const HttpReply& reply, bool closes, bool to_head);
+std::string ToText(const HttpReply& reply, bool closes, bool is_head);
 
 // The standard reason phrase of the status.
-std::string_view StatusPhrase(int status);
+std::string_view ReasonPhrase(int status);
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/http_session.h
+++ b/packages/edge/include/hibiscuspick/edge/http_session.h
@@ -43,7 +43,9 @@
 
   // Callback invoked once if the caller disconnects before the reply. Set anew
   // for each request.
-  void set_on_gone(std::function<void()> it) { on_gone_ = std::move(it); }
+  void set_on_disconnect(std::function<void()> it) {
+    on_disconnect_ = std::move(it);
+  }
 
   // Closes the connection immediately; no callback is invoked.
   void Abort();
@@ -54,27 +56,27 @@
  private:
   void OnBytes(std::string_view bytes);
   void OnEnd();
-  void ReadOn();
-  void Refuse(ReadState state);
-  void ArmIdle();
+  void ReadRequest();
+  void RejectRequest(ReadState state);
+  void StartIdleTimer();
   void OnTimer();
   void End();
 
   Loop* const loop_;
   const SessionPolicy* const policy_;
   std::function<void()> on_end_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnect_;
   std::shared_ptr<ByteStream> stream_;
   std::unique_ptr<RequestReader> reader_;
-  std::string in_;
+  std::string buffer_;
   Loop::TimerId timer_ = 0;
   bool busy_ = false;
-  bool to_head_ = false;
+  bool is_head_ = false;
   bool keep_alive_ = true;
-  bool continued_ = false;
+  bool sent_continue_ = false;
   // Round-trip time, measured once per connection.
   std::optional<Millis> round_trip_;
-  bool is_first_ = true;
+  bool is_first_request_ = true;
 };
 
 class HttpListener {
@@ -92,11 +94,11 @@
   void StopAccepting();
   bool IsAccepting() const { return acceptor_.is_open(); }
   void CloseIdle();
-  size_t busy() const;
+  size_t busy_sessions() const;
 
  private:
   void Accept();
-  void Begin(boost::asio::ip::tcp::socket socket);
+  void StartSession(boost::asio::ip::tcp::socket socket);
 
   Loop* const loop_;
   const SessionPolicy policy_;
--- a/packages/edge/include/hibiscuspick/edge/loop.h
+++ b/packages/edge/include/hibiscuspick/edge/loop.h
@@ -40,7 +40,7 @@
   }
 
   // Runs `task` once at or after `when`. Only from the loop's thread.
-  TimerId At(Millis when, Task task);
+  TimerId RunAt(Millis when, Task task);
   // Cancels a timer. Does nothing if it has fired or `id` is 0.
   void Cancel(TimerId id);
 
@@ -49,22 +49,22 @@
 
   // Fraction of the time since the last call that the loop spent running tasks
   // rather than waiting. Only from the loop's thread.
-  double TakeBusyShare();
+  double TakeUtilisation();
 
   // Runs until Stop, which may be called from any thread.
   void Run();
   void Stop();
 
  private:
-  struct Due {
+  struct TimerEntry {
     Millis when;
     TimerId id;
-    bool operator>(const Due& it) const { return when > it.when; }
+    bool operator>(const TimerEntry& it) const { return when > it.when; }
   };
 
   // Time from `at` to the next timer, bounded by the longest wait.
-  Millis UntilNext(Millis at);
-  void RunDue();
+  Millis TimeToNextTimer(Millis at);
+  void RunDueTimers();
 
   boost::asio::io_context io_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
@@ -73,10 +73,11 @@
   mutable Millis now_;
   mutable bool now_read_ = false;
   // Start of the current utilisation measurement and the busy time since.
-  Millis counted_from_ = SteadyNow();
-  Millis at_work_;
+  Millis measured_since_ = SteadyNow();
+  Millis busy_time_;
   TimerId last_id_ = 0;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<TimerEntry, std::vector<TimerEntry>, std::greater<>>
+      timers_;
   std::unordered_map<TimerId, Task> tasks_;
 };
 
--- a/packages/edge/include/hibiscuspick/edge/peer_sender.h
+++ b/packages/edge/include/hibiscuspick/edge/peer_sender.h
@@ -21,65 +21,68 @@
 
 // Parameters of a forwarded query that are sent along with the caller's
 // headers.
-struct HandedQuery {
+struct ForwardedQuery {
   uint64_t config_version = 0;
-  HandedClocks clocks;
+  ForwardedDeadlines deadlines;
   // Indices, within the route, of the shards to query; empty for all.
-  std::vector<size_t> shards;
+  std::vector<size_t> shard_indices;
   // Set if this query asks for the parts that were still open in an earlier
   // answer: the token of that answer, and how many of the parts are needed.
-  struct Rest {
+  struct Remainder {
     std::string token;
-    size_t wanted = 0;
+    size_t needed = 0;
   };
-  Rest rest;
+  Remainder remainder;
 };
 
 // Encodes the parameters into headers, and extracts them again; nullopt if they
 // are missing or malformed.
-void AddHanded(const HandedQuery& query, std::vector<Header>* headers);
-std::optional<HandedQuery> TakeHanded(std::vector<Header>* headers);
+void AddForwardingHeaders(const ForwardedQuery& query,
+                          std::vector<Header>* headers);
+std::optional<ForwardedQuery> ExtractForwardingHeaders(
+    std::vector<Header>* headers);
 
 // In the answer to a query for some shards: indices of the shards whose results
 // are included, in the order of their stamps.
-inline constexpr std::string_view kShardsInHeader = "Hp-Shards-In";
+inline constexpr std::string_view kShardsReceivedHeader = "Hp-Shards-In";
 // In every answer to such a query: indices of the missing shards that have used
 // all attempts the route allows.
-inline constexpr std::string_view kShardsSpentHeader = "Hp-Shards-Spent";
+inline constexpr std::string_view kShardsExhaustedHeader = "Hp-Shards-Spent";
 // In the first answer: indices of the shards that may still reply, and the
 // token with which to ask for them within kRemainderTtl.
 inline constexpr std::string_view kShardsOpenHeader = "Hp-Shards-Open";
-inline constexpr std::string_view kRestHeader = "Hp-Rest";
-inline constexpr Millis kRestPatience{100};
+inline constexpr std::string_view kRemainderHeader = "Hp-Rest";
+inline constexpr Millis kRemainderTtl{100};
 
 // In every answer to a peer: how long this instance had the query.
-inline constexpr std::string_view kTookHeader = "Hp-Took-Ms";
+inline constexpr std::string_view kProcessingTimeHeader = "Hp-Took-Ms";
 
 // In every answer to a peer: the fraction of time its loop is busy.
-inline constexpr std::string_view kBusyHeader = "Hp-Busy";
+inline constexpr std::string_view kUtilisationHeader = "Hp-Busy";
 
 // Records the latency of a hop to a peer, excluding the peer's own processing
 // time, from the peer's answer.
-void NoteHop(const HttpReply& reply, Millis sent_at, engine::LagMeter* lag);
+void RecordHopLatency(const HttpReply& reply, Millis sent_at,
+                      engine::LagMeter* lag);
 
 // Formats and parses comma-separated indices; nullopt if malformed.
-std::string JoinPlaces(const std::vector<size_t>& places);
-std::optional<std::vector<size_t>> SplitPlaces(std::string_view text);
+std::string FormatIndices(const std::vector<size_t>& indices);
+std::optional<std::vector<size_t>> ParseIndices(std::string_view text);
 
 // Status of a peer with another version of the configuration: all parts of an
 // answer, and all answers of one instance, must come from one version.
-inline constexpr int kOtherVersion = 409;
+inline constexpr int kVersionMismatchStatus = 409;
 // Status of a peer that cannot reach enough servers, before any has run the
 // query. The forwarding instance then sends the query itself and so finds out
 // whether it is cut off too. From the peer's refusals alone it would keep
 // accepting callers that the balancer could send elsewhere.
-inline constexpr int kOutOfReach = 424;
+inline constexpr int kServersUnreachableStatus = 424;
 // In that answer: the peer's data centre is cut off from the others.
 inline constexpr std::string_view kCutOffHeader = "Hp-Cut-Off";
 
 class PeerSender {
  public:
-  using OnEnd = std::function<void(HandedEnd, HttpReply)>;
+  using OnEnd = std::function<void(ForwardResult, HttpReply)>;
 
   // `prober` must outlive this object; it is notified of replies and failures.
   PeerSender(Loop* loop, Prober* prober) : loop_(loop), prober_(prober) {}
@@ -94,24 +97,27 @@
                 const std::vector<engine::Peer>& relays);
   const std::vector<engine::Peer>& senders() const { return senders_; }
   // Fraction of time that this instance's loop is busy.
-  void SetOwnBusy(double share) { own_busy_ = share; }
-  double own_busy() const { return own_busy_; }
+  void set_own_utilisation(double utilisation) {
+    own_utilisation_ = utilisation;
+  }
+  double own_utilisation() const { return own_utilisation_; }
 
   // Chooses the peer for a fan-out over shards in these data centres, among
   // those that `homes` allows; nullopt if this instance should run it itself.
-  std::optional<engine::Peer> Choose(const std::vector<DataCentreId>& places,
-                                     const engine::AllowedDataCentres& homes);
+  std::optional<engine::Peer> ChoosePeer(
+      const std::vector<DataCentreId>& data_centres,
+      const engine::AllowedDataCentres& allowed_data_centres);
   // This instance's role and rank among the senders; the default if it is not
   // one.
   engine::SenderRank Rank() const;
 
   // A reachable relay in that data centre, rotating between them; nullptr if
   // there is none.
-  const engine::Peer* RelayIn(const DataCentreId& where);
-  bool HasRelayIn(const DataCentreId& where) const;
+  const engine::Peer* ChooseRelay(const DataCentreId& data_centre);
+  bool HasRelayIn(const DataCentreId& data_centre) const;
   // Records the fraction of parts requested from that data centre's relays that
   // were missing.
-  void NoteLacking(const DataCentreId& where, double share);
+  void RecordMissingShare(const DataCentreId& data_centre, double share);
 
   // Time limits of a forwarded query: when the answer is due, after which a
   // peer that answers no query at all gets no further ones, and when the query
@@ -125,39 +131,43 @@
   // called first to cancel it (the caller has disconnected); the peer learns of
   // that by the closed connection.
   std::function<void()> Send(const engine::Peer& peer, std::string text,
-                             bool to_head, const Times& times, OnEnd on_end);
+                             bool is_head, const Times& times, OnEnd on_end);
 
  private:
-  struct Open;
-  bool IsAvoided(const InstanceId& peer) const;
+  struct OpenQuery;
+  bool IsInBackoff(const InstanceId& peer) const;
   // The busy fraction a sender reported recently; 0 if there is no recent
   // report.
-  double BusyShare(const InstanceId& peer) const;
-  void NoteBusy(const InstanceId& peer, const HttpReply& reply);
-  bool TakesParts(const engine::Peer& peer, const DataCentreId& where) const;
-  void SendOn(const std::shared_ptr<Open>& open);
-  void SuspectLater(const std::shared_ptr<Open>& open, Millis due);
-  void Avoid(const InstanceId& peer);
-  void End(const std::shared_ptr<Open>& open, HandedEnd end, HttpReply reply);
+  double UtilisationOf(const InstanceId& peer) const;
+  void RecordUtilisation(const InstanceId& peer, const HttpReply& reply);
+  bool AcceptsParts(const engine::Peer& peer,
+                    const DataCentreId& data_centre) const;
+  void SendOnChannel(const std::shared_ptr<OpenQuery>& query);
+  void ScheduleSilenceChecks(const std::shared_ptr<OpenQuery>& query,
+                             Millis due);
+  void StartBackoff(const InstanceId& peer);
+  void Finish(const std::shared_ptr<OpenQuery>& query, ForwardResult end,
+              HttpReply reply);
 
   Loop* const loop_;
   Prober* const prober_;
   std::optional<engine::Peer> own_;
   std::vector<engine::Peer> senders_;
   std::vector<engine::Peer> relays_;
-  std::map<InstanceId, std::vector<std::shared_ptr<HttpChannel>>> idle_;
+  std::map<InstanceId, std::vector<std::shared_ptr<HttpChannel>>>
+      idle_channels_;
   // Time of each peer's last answer.
-  std::map<InstanceId, Millis> heard_;
+  std::map<InstanceId, Millis> last_contact_;
   // Peers that could not be reached, and until when they get no queries.
-  std::map<InstanceId, Millis> avoided_;
-  std::map<DataCentreId, engine::RelayHealth> health_;
-  struct Busy {
-    double share = 0;
-    Millis said;
+  std::map<InstanceId, Millis> backoff_until_;
+  std::map<DataCentreId, engine::RelayHealth> relay_health_;
+  struct UtilisationReport {
+    double utilisation = 0;
+    Millis reported_at;
   };
-  std::map<InstanceId, Busy> busy_;
-  double own_busy_ = 0;
-  size_t turn_ = 0;
+  std::map<InstanceId, UtilisationReport> utilisation_;
+  double own_utilisation_ = 0;
+  size_t rotation_ = 0;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/prober.h
+++ b/packages/edge/include/hibiscuspick/edge/prober.h
@@ -39,41 +39,42 @@
   }
 
   // Records that data was received from the data centre.
-  void RecordContact(const DataCentreId& where);
+  void RecordContact(const DataCentreId& data_centre);
   // Records a failed connection. It is ignored while the data centre replies to
   // others; failures for kSilenceThreshold without contact start a probe.
-  void NoteFailed(const DataCentreId& where);
+  void RecordFailure(const DataCentreId& data_centre);
   // A request sent at `since` is unanswered: starts a probe if the data centre
   // has been quiet for long enough.
-  void Suspect(const DataCentreId& where, Millis since);
+  void Suspect(const DataCentreId& data_centre, Millis since);
   // The same for a request whose answer depends on other data centres.
   void SuspectAll(Millis since);
 
-  bool IsLost(const DataCentreId& where) const;
+  bool IsUnreachable(const DataCentreId& data_centre) const;
   // Whether all other data centres are unreachable.
-  bool IsAlone() const;
+  bool IsIsolated() const;
   // Time of the last contact with any other data centre.
-  Millis heard_elsewhere() const { return heard_elsewhere_; }
+  Millis last_remote_contact() const { return last_remote_contact_; }
 
  private:
-  struct Place {
-    engine::Reachability reach;
+  struct DataCentreState {
+    engine::Reachability reachability;
     // The first failure since the last contact.
-    Millis failed{-1};
+    Millis first_failure{-1};
     std::vector<Address> peers;
   };
 
-  void Probe(const DataCentreId& where);
-  void Try(const DataCentreId& where, const std::vector<Address>& some);
-  void End(const DataCentreId& where);
-  void NotifyIfIsolated();
+  void Probe(const DataCentreId& data_centre);
+  void TryConnect(const DataCentreId& data_centre,
+                  const std::vector<Address>& addresses);
+  void FinishProbe(const DataCentreId& data_centre);
+  void NotifyIsolation();
 
   Loop* const loop_;
   const DataCentreId own_;
   const bool active_;
   AddressesOf servers_;
-  std::map<DataCentreId, Place> places_;
-  Millis heard_elsewhere_{-1};
+  std::map<DataCentreId, DataCentreState> data_centres_;
+  Millis last_remote_contact_{-1};
   std::function<void(bool)> on_isolated_;
   bool notified_isolated_ = false;
 };
--- a/packages/edge/include/hibiscuspick/edge/query_metrics.h
+++ b/packages/edge/include/hibiscuspick/edge/query_metrics.h
@@ -15,25 +15,25 @@
  public:
   QueryMetrics();
   void Count(const QueryOutcome& outcome);
-  void CountHandedOver() { handed_over_->Add(); }
+  void CountForwarded() { forwarded_->Add(); }
   // Counts a request that was refused before it became a query.
   void CountRefused() { refused_->Add(); }
   // Records how long after its due time a timer of the loop ran.
-  void ObserveDelay(Millis it) { delay_->Observe(it); }
+  void ObserveLoopLag(Millis it) { loop_lag_->Observe(it); }
   metrics::Registry* registry() { return &registry_; }
   std::string Text() const { return registry_.PrometheusText(); }
 
  private:
   metrics::Registry registry_;
   std::array<metrics::Counter*, kQueryFaultCount> by_fault_{};
-  metrics::Counter* shards_in_;
+  metrics::Counter* shards_received_;
   metrics::Counter* shards_missing_;
-  metrics::Counter* kept_back_;
-  metrics::Counter* extras_;
-  metrics::Counter* handed_over_;
+  metrics::Counter* shards_deferred_;
+  metrics::Counter* extra_attempts_;
+  metrics::Counter* forwarded_;
   metrics::Counter* refused_;
-  metrics::Latency* took_;
-  metrics::Latency* delay_;
+  metrics::Latency* latency_;
+  metrics::Latency* loop_lag_;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/query_run.h
+++ b/packages/edge/include/hibiscuspick/edge/query_run.h
@@ -23,7 +23,7 @@
 namespace hibiscuspick::edge {
 
 class PeerSender;
-struct HandedQuery;
+struct ForwardedQuery;
 
 // Shared state of the instance that requests use; outlives them.
 struct QueryContext {
@@ -35,7 +35,7 @@
   Millis answer_margin{9};
   // Used instead where the network time is known: only the time this instance
   // takes.
-  Millis own_margin{4};
+  Millis processing_margin{4};
   // How long after its due time an answer leaves; subtracted from the target
   // too.
   engine::LagMeter answer_lag;
@@ -50,10 +50,10 @@
 };
 
 // Time left of the deadlines of a query that a peer has forwarded.
-struct HandedClocks {
+struct ForwardedDeadlines {
   Millis answer_in;
-  Millis end_in;
-  bool returning = false;
+  Millis deadline_in;
+  bool is_retry = false;
   // Measured distribution of the time from `answer_in` until the peer has the
   // answer. The typical lag is already subtracted from `answer_in`.
   std::optional<engine::LagBounds> lags = std::nullopt;
@@ -81,12 +81,12 @@
 std::string_view FaultName(QueryFault fault);
 
 // How a forwarded query ended.
-enum class HandedEnd {
+enum class ForwardResult {
   // The peer answered; its answer is passed to the caller.
-  kAnswer,
+  kAnswered,
   // The peer did not start the query: it is unreachable or has another
   // configuration version.
-  kNotBegun,
+  kNotStarted,
   // The connection broke after the query was sent.
   kBroken,
 };
@@ -95,23 +95,23 @@
   HttpReply reply;
   QueryFault fault = QueryFault::kNone;
   size_t shards = 0;
-  size_t shards_in = 0;
-  size_t extras = 0;
+  size_t shards_received = 0;
+  size_t extra_attempts = 0;
   // Deferred shards that were never queried.
-  size_t kept_back = 0;
-  bool ran = false;
+  size_t shards_deferred = 0;
+  bool may_have_run = false;
   // Its parts were queued after those of queries that could still be on time.
-  bool behind = false;
+  bool deprioritized = false;
   // Indices of shards that are still awaited after this answer to a peer, until
   // Resume or DropRemainder.
-  std::vector<size_t> open;
+  std::vector<size_t> open_shards;
   // The answer came after the route's target.
   bool late = false;
   // For late or failed queries: the first missing services, each with the
   // server that was tried last. For queries refused by admission control: the
   // estimates that decided it.
-  std::string lacking;
-  Millis took;
+  std::string missing_detail;
+  Millis latency;
 };
 
 class QueryRun : public std::enable_shared_from_this<QueryRun> {
@@ -120,7 +120,7 @@
 
   QueryRun(QueryContext* context,
            std::shared_ptr<const engine::TrafficConfig> config,
-           const engine::Route* route, engine::RouteLatency* pace,
+           const engine::Route* route, engine::RouteLatency* route_latency,
            HttpRequest request);
 
   // Starts the parts. `services` are the shards, or the one service of a plain
@@ -129,57 +129,62 @@
 
   // Time left of the route's and the caller's deadlines for this request, as of
   // now.
-  static HandedClocks ClocksFor(const QueryContext& context,
-                                const engine::Route& route,
-                                engine::RouteLatency* pace,
-                                const HttpRequest& request);
+  static ForwardedDeadlines DeadlinesFor(const QueryContext& context,
+                                         const engine::Route& route,
+                                         engine::RouteLatency* route_latency,
+                                         const HttpRequest& request);
 
   // Sets the deadlines of a query forwarded by a peer. Before Start.
-  void set_handed(const HandedClocks& it) { handed_ = it; }
+  void set_forwarded(const ForwardedDeadlines& it) {
+    forwarded_deadlines_ = it;
+  }
 
   // Restricts the query to these shards of the route; any number of them makes
   // an answer. Before Start, with the services of the same shards.
-  void set_partial(std::vector<size_t> places) { places_ = std::move(places); }
+  void set_shard_indices(std::vector<size_t> shard_indices) {
+    shard_indices_ = std::move(shard_indices);
+  }
 
   // Continues a query after its first answer to a peer, which still needs
   // `wanted` of the parts in `shard_indices`. Answers when that many have
   // arrived, or at the deadline with those that have.
-  void Resume(const HandedClocks& clocks, const std::vector<size_t>& places,
-              size_t wanted, OnDone on_done);
+  void Resume(const ForwardedDeadlines& deadlines,
+              const std::vector<size_t>& shard_indices, size_t needed,
+              OnDone on_done);
   // Stops the open parts: the peer did not ask for them.
-  void DropRest();
+  void DropRemainder();
 
   // Stops all parts because the caller has disconnected.
   void Cancel();
   // Answers immediately with the parts received, since the instance is shutting
   // down.
-  void GiveUp();
+  void AnswerNow();
 
  private:
   // How an attempt is charged to the budget of extra attempts.
-  enum class Extra {
+  enum class ExtraAttempt {
     kNone,
     // A retry, or a hedge without which the query may fail.
-    kNeeded,
+    kUrgent,
     // A hedge that would only raise the answer's coverage.
     kOptional,
   };
-  struct OpenTry {
+  struct OpenAttempt {
     AttemptId id;
     BackendServerId server;
-    Millis since;
+    Millis started_at;
   };
   struct Part {
     ServiceId service;
-    std::vector<OpenTry> open;
+    std::vector<OpenAttempt> open;
     // Servers on which the part may have run.
-    std::vector<BackendServerId> ran_on;
+    std::vector<BackendServerId> may_have_run_on;
     int refusals = 0;
-    std::optional<WaitKey> waiting;
-    bool in = false;
+    std::optional<QueueKey> queue_key;
+    bool received = false;
     bool failed = false;
     // The peer received it in an earlier answer or does not need it.
-    bool settled = false;
+    bool excluded = false;
     // Not queried until other parts are late.
     bool deferred = false;
     // A peer queries this shard.
@@ -188,13 +193,13 @@
     // The last unsuccessful reply of a server.
     std::optional<HttpReply> failure;
 
-    bool IsOver() const { return in || failed || settled; }
+    bool IsOver() const { return received || failed || excluded; }
   };
 
-  const settings::Mechanisms& Uses() const {
+  const settings::Mechanisms& mechanisms() const {
     return context_->backends->policy().mechanisms;
   }
-  void ReadClocks();
+  void SetDeadlines();
   void StartPart(size_t i);
   // Returns false if the query was answered immediately.
   bool StartParts();
@@ -204,102 +209,105 @@
   bool SendRelay(const engine::RelayGroup& group);
   // Sends a request for parts of this query to a peer; the answer is due in
   // `due`.
-  void AskPeer(const engine::Peer& peer, HandedQuery query, Millis due,
-               const std::function<void(HandedEnd, const HttpReply&)>& on_end);
-  void OnRelayed(const engine::RelayGroup& group, const engine::Peer& peer,
-                 HandedEnd end, const HttpReply& reply);
+  void SendToPeer(
+      const engine::Peer& peer, ForwardedQuery query, Millis due,
+      const std::function<void(ForwardResult, const HttpReply&)>& on_end);
+  void OnRelayAnswer(const engine::RelayGroup& group, const engine::Peer& peer,
+                     ForwardResult result, const HttpReply& reply);
   // Handles a peer's answer for these shards: takes the results received, keeps
   // track of those that may still come, and queries the others from here.
   // `ran`: the peer may have sent them to servers.
-  void TakeFromPeer(const std::vector<size_t>& shards, const engine::Peer& peer,
-                    HandedEnd end, const HttpReply& reply, bool ran);
-  bool TakeRelayed(const std::vector<size_t>& shards, const HttpReply& reply);
+  void HandlePeerAnswer(const std::vector<size_t>& shards,
+                        const engine::Peer& peer, ForwardResult result,
+                        const HttpReply& reply, bool may_have_run);
+  bool TakePeerResults(const std::vector<size_t>& shards,
+                       const HttpReply& reply);
   // Parts that a peer still awaits.
-  struct Rest {
+  struct PeerRemainder {
     engine::Peer peer;
     std::string token;
     std::vector<size_t> shards;
   };
-  void KeepRest(const std::vector<size_t>& shards, const engine::Peer& peer,
-                const HttpReply& reply);
-  void AskForRests();
-  void AskForRest(const Rest& rest, size_t wanted);
-  std::vector<size_t> OpenPlaces() const;
-  std::vector<size_t> SpentPlaces() const;
-  void NoteSpent(const HttpReply& reply);
+  void AddRemainder(const std::vector<size_t>& shards, const engine::Peer& peer,
+                    const HttpReply& reply);
+  void RequestRemainders();
+  void RequestRemainder(const PeerRemainder& remainder, size_t needed);
+  std::vector<size_t> OpenShards() const;
+  std::vector<size_t> ExhaustedShards() const;
+  void RecordExhausted(const HttpReply& reply);
   QueryOutcome OutcomeOf(HttpReply reply, QueryFault fault) const;
-  void WaitForRoom(size_t i, bool extra);
-  bool TryPart(size_t i, Extra extra);
-  AttemptOrder OrderFor(size_t i);
+  void EnqueuePart(size_t i, bool extra);
+  bool TryStartPart(size_t i, ExtraAttempt extra);
+  AttemptSpec AttemptSpecFor(size_t i);
   // The caller's request without the headers that are set anew for each server.
-  HttpRequest Forwarded() const;
-  std::string TextFor(const BackendServerId& server) const;
-  bool IsOurs(const HttpReply& reply) const;
+  HttpRequest UpstreamRequest() const;
+  std::string SerializeFor(const BackendServerId& server) const;
+  bool MatchesRequest(const HttpReply& reply) const;
   void OnAttempt(size_t i, AttemptResult result);
-  bool IsGood(const HttpReply& reply) const;
+  bool IsValidReply(const HttpReply& reply) const;
   // Records the remaining warm-up time that the server reported, if any.
-  void NoteWarmup(const AttemptResult& result);
-  void OnFailed(size_t i, const AttemptResult& result);
-  void RetryPart(size_t i, bool ran);
+  void RecordWarmup(const AttemptResult& result);
+  void OnFailedAttempt(size_t i, const AttemptResult& result);
+  void RetryPart(size_t i, bool may_have_run);
   void HedgeParts();
   bool MayHedge(const Part& part) const;
   // Whether the route allows an attempt at one more server.
   bool HasAttemptLeft(const Part& part) const;
-  Millis NextHedge() const;
-  void Check();
-  void StartKeptBack();
+  Millis NextHedgeTime() const;
+  void Advance();
+  void StartDeferredParts();
   void ArmTimer();
   void Answer();
-  HttpReply GatherReply() const;
-  HttpReply OwnReply(int status, QueryFault fault) const;
+  HttpReply MergedReply() const;
+  HttpReply ErrorReply(int status, QueryFault fault) const;
   void Fail(QueryFault fault);
-  Millis BackAfterNoServer() const;
+  Millis RetryAfterNoServer() const;
   void Finish(HttpReply reply, QueryFault fault);
-  std::string LackingText() const;
-  std::string RefusalText() const;
+  std::string DescribeMissing() const;
+  std::string DescribeCapacity() const;
   void StopParts(bool caller_left);
   bool MayHaveRun() const;
-  size_t FailedParts() const;
-  size_t NeededOfAll() const;
+  size_t FailedPartCount() const;
+  size_t NeededPartCount() const;
   engine::GatherProgress Progress() const;
 
   QueryContext* const context_;
   const std::shared_ptr<const engine::TrafficConfig> config_;
   const engine::Route* const route_;
-  engine::RouteLatency* const pace_;
+  engine::RouteLatency* const route_latency_;
   HttpRequest request_;
   std::string request_id_;
   // The service whose budget of extra attempts this query uses; shared by all
   // shards of a fan-out.
-  ServiceId budget_of_;
-  std::vector<Header> forwarded_;
+  ServiceId budget_service_;
+  std::vector<Header> upstream_headers_;
   OnDone on_done_;
-  std::optional<HandedClocks> handed_;
+  std::optional<ForwardedDeadlines> forwarded_deadlines_;
   // Indices within the route of a partial query's shards; empty for a whole
   // query.
-  std::vector<size_t> places_;
+  std::vector<size_t> shard_indices_;
   // Result records that peers have already merged.
-  std::vector<std::string> merged_;
+  std::vector<std::string> merged_bodies_;
   // Functions that cancel the requests to peers.
-  std::vector<std::function<void()>> relays_;
-  std::vector<Rest> rests_;
+  std::vector<std::function<void()>> cancel_relays_;
+  std::vector<PeerRemainder> remainders_;
   // Has answered a peer and waits for it to ask for the open parts.
-  bool resting_ = false;
+  bool awaiting_resume_ = false;
   // How many of the open parts the peer needs; 0 before it asked.
-  size_t wanted_ = 0;
+  size_t needed_by_peer_ = 0;
   std::vector<Part> parts_;
-  engine::GatherDeadlines clocks_;
+  engine::GatherDeadlines deadlines_;
   // Start of the query, or of its continuation by Resume.
-  Millis began_;
+  Millis started_at_;
   Loop::TimerId timer_ = 0;
-  size_t extras_ = 0;
-  bool returning_ = false;
-  bool behind_ = false;
+  size_t extra_attempts_ = 0;
+  bool is_retry_ = false;
+  bool deprioritized_ = false;
   // Set while the timer of the answer time is handled.
-  bool by_clock_ = false;
+  bool at_answer_timer_ = false;
   Millis retry_after_{50};
   // The estimate on which an admission refusal is based.
-  engine::ShardEstimate refused_by_;
+  engine::ShardEstimate refusal_estimate_;
   bool done_ = false;
 };
 
--- a/packages/edge/include/hibiscuspick/edge/request_log.h
+++ b/packages/edge/include/hibiscuspick/edge/request_log.h
@@ -14,23 +14,24 @@
 class RequestLog {
  public:
   // Logs a request that was refused before it became a query.
-  void Refused(std::string_view request_id, int status, std::string_view why,
-               Millis now);
+  void LogRefusal(std::string_view request_id, int status,
+                  std::string_view reason, Millis now);
   // Logs the outcome of a query. `config_version` is the configuration that
   // served it.
-  void Ended(std::string_view request_id, const RouteId& route,
-             uint64_t config_version, const QueryOutcome& outcome, Millis now);
+  void LogOutcome(std::string_view request_id, const RouteId& route,
+                  uint64_t config_version, const QueryOutcome& outcome,
+                  Millis now);
 
  private:
   // Whether the budget allows a line; logs first how many were suppressed since
   // the last.
-  static bool Take(LineBudget* budget, std::string_view what, Millis now);
+  static bool MayLog(LineBudget* budget, std::string_view kind, Millis now);
 
   // One budget for each kind, so that refused or successful requests cannot
   // suppress lines of failed ones.
   LineBudget refused_;
   LineBudget failed_;
-  LineBudget good_;
+  LineBudget successful_;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/include/hibiscuspick/edge/traffic_server.h
+++ b/packages/edge/include/hibiscuspick/edge/traffic_server.h
@@ -38,13 +38,13 @@
   Address readiness;
   std::string readiness_path;
   // Address for queries forwarded by peers.
-  Address queries;
+  Address peer_queries;
   WireNames names;
   BackendsPolicy backends;
   // Total slack in each service's budget of extra attempts, over all instances.
   double extra_slack = 0;
   // Limits on requests to a cold server beyond its service's own.
-  engine::ColdLimits cold;
+  engine::ColdLimits cold_limits;
   // Assumed number of instances until it is known.
   size_t instances = 8;
   Millis answer_margin{9};
@@ -53,9 +53,9 @@
   // requests are served, since the load balancer still sends them; at
   // `stop_answer` every request still running is answered; at `stop_end` the
   // process exits.
-  Millis stop_refuse{3000};
-  Millis stop_answer{5300};
-  Millis stop_end{5600};
+  Millis stop_refuse_after{3000};
+  Millis stop_answer_after{5300};
+  Millis stop_exit_after{5600};
 };
 
 class TrafficServer {
@@ -73,11 +73,11 @@
   void SetServers(const std::vector<engine::ServerEntry>& entries);
   // Excludes servers in these data centres from now on. The first call comes
   // before the first SetServers, after which requests are served.
-  void SetEvacuated(const std::set<DataCentreId>& places);
+  void SetEvacuated(const std::set<DataCentreId>& data_centres);
   // The other instances: `senders` run fan-outs for the others, `relays` query
   // shards in their own data centre; the two may overlap. `own_place` is this
   // instance's position among all.
-  struct Place {
+  struct InstancePosition {
     size_t instances = 1;
     // Number of instances before this one in an order that all agree on.
     size_t rank = 0;
@@ -85,10 +85,10 @@
   void SetPeers(const engine::Peer& own,
                 const std::vector<engine::Peer>& senders,
                 const std::vector<engine::Peer>& relays,
-                const Place& own_place);
+                const InstancePosition& own_position);
   // Some instances of each other data centre, which are probed for its
   // reachability.
-  void SetProbed(const std::vector<engine::Peer>& peers);
+  void SetProbeTargets(const std::vector<engine::Peer>& peers);
 
   // Callback invoked with true when this instance finds its data centre cut off
   // and unable to serve callers, and with false when another data centre is
@@ -100,7 +100,7 @@
   // and unable to serve, possibly for routes that no caller has requested here
   // yet. Starts probes rather than trusting the report, since only that
   // instance may be cut off.
-  void LookIfCutOff();
+  void CheckCutOff();
 
   // Starts a graceful shutdown: readiness is reported as false; `done` is
   // called when no requests are left or the time is up.
@@ -113,18 +113,18 @@
   // Whether the data centre is cut off and the routes in use need more shards
   // than are available here, so that another data centre serves their callers
   // better.
-  bool IsUseless();
+  bool IsUnableToServe();
   SessionPolicy QueriesPolicy();
   void OnRequest(const std::shared_ptr<HttpSession>& session,
                  HttpRequest request);
   // Handles a query forwarded by a peer.
-  void OnHanded(const std::shared_ptr<HttpSession>& session,
-                HttpRequest request);
+  void OnForwardedQuery(const std::shared_ptr<HttpSession>& session,
+                        HttpRequest request);
   // Cancels the query if the other side of the session disconnects.
-  void CancelIfGone(const std::shared_ptr<HttpSession>& session,
-                    const std::shared_ptr<QueryRun>& query);
-  void OnRestAsked(const std::shared_ptr<HttpSession>& session,
-                   const HandedQuery& handed);
+  void CancelOnDisconnect(const std::shared_ptr<HttpSession>& session,
+                          const std::shared_ptr<QueryRun>& query);
+  void OnRemainderRequested(const std::shared_ptr<HttpSession>& session,
+                            const ForwardedQuery& forwarded);
   // Answers a peer, with a token for the parts that are still open.
   void AnswerPeer(const std::shared_ptr<HttpSession>& session,
                   const QueryOutcome& outcome,
@@ -134,26 +134,27 @@
   const engine::Route* RouteOf(const HttpRequest& request) const;
   // Serves a caller's request on this instance; refuses it if there is no
   // route.
-  void ServeHere(const std::shared_ptr<HttpSession>& session,
-                 HttpRequest request, const engine::Route* route);
+  void ServeLocally(const std::shared_ptr<HttpSession>& session,
+                    HttpRequest request, const engine::Route* route);
   void Serve(const std::shared_ptr<HttpSession>& session, HttpRequest request,
              const engine::Route& route,
-             const std::optional<HandedQuery>& handed);
-  bool HandOver(const std::shared_ptr<HttpSession>& session,
-                const HttpRequest& request, const engine::Route& route);
+             const std::optional<ForwardedQuery>& forwarded);
+  bool ForwardToPeer(const std::shared_ptr<HttpSession>& session,
+                     const HttpRequest& request, const engine::Route& route);
   void OnPeerAnswer(const std::shared_ptr<HttpSession>& session,
-                    HttpRequest request, HandedEnd end, const HttpReply& reply);
-  void ShareOut();
+                    HttpRequest request, ForwardResult result,
+                    const HttpReply& reply);
+  void DivideLimits();
   std::vector<ServiceId> ServicesFor(const engine::Route& route);
-  engine::RouteLatency* PaceOf(const engine::Route& route);
+  engine::RouteLatency* RouteLatencyOf(const engine::Route& route);
   // The data centres that have servers of nearly all shards of the route.
-  const std::vector<DataCentreId>& PlacesOf(const engine::Route& route);
+  const std::vector<DataCentreId>& DataCentresOf(const engine::Route& route);
   void Refuse(HttpSession* session, const HttpRequest& request, int status,
-              std::string_view why);
-  void MeasureDelay();
+              std::string_view reason);
+  void MeasureLoopLag();
   void AddGauges();
-  void AnswerWhatIsLeft();
-  void StopStep(const std::function<void()>& done);
+  void AnswerRemaining();
+  void ContinueStop(const std::function<void()>& done);
 
   Loop* const loop_;
   const TrafficSettings settings_;
@@ -162,47 +163,47 @@
   QueryContext context_;
   HttpListener callers_;
   HttpListener readiness_;
-  HttpListener queries_;
+  HttpListener peer_queries_;
   PeerSender peers_;
   QueryMetrics metrics_;
-  Place place_;
+  InstancePosition own_position_;
   // Latency of forwarding a query to a peer in this data centre and in another,
   // without the peer's processing time. The initial values are one and a half
   // one-way trips.
-  engine::LagMeter near_lag_{Millis(4)};
-  engine::LagMeter far_lag_{Millis(7)};
+  engine::LagMeter local_lag_{Millis(4)};
+  engine::LagMeter remote_lag_{Millis(7)};
   std::shared_ptr<const engine::TrafficConfig> config_;
   bool has_servers_ = false;
   bool stopping_ = false;
-  bool useless_ = false;
+  bool unable_to_serve_ = false;
   // When a peer last reported that the data centre is cut off and unable to
   // serve.
-  std::optional<Millis> told_useless_;
+  std::optional<Millis> unable_reported_at_;
   std::function<void(bool)> on_cut_off_;
-  Millis stop_began_;
-  EarlyRequests early_;
+  Millis stop_started_at_;
+  EarlyRequests early_requests_;
   RequestLog request_log_;
-  std::map<RouteId, std::unique_ptr<engine::RouteLatency>> paces_;
+  std::map<RouteId, std::unique_ptr<engine::RouteLatency>> route_latencies_;
   std::map<RouteId, engine::SplitState> splits_;
   // Cached for each server list: computing it scans hundreds of servers, too
   // much per query for an instance with an eighth of a core.
-  struct RoutePlaces {
+  struct RouteDataCentres {
     uint64_t generation = 0;
-    std::vector<DataCentreId> places;
+    std::vector<DataCentreId> data_centres;
   };
-  std::map<RouteId, RoutePlaces> places_;
+  std::map<RouteId, RouteDataCentres> route_data_centres_;
   std::unordered_set<std::shared_ptr<QueryRun>> running_;
   // Queries that were answered to a peer with parts still open, by the token in
   // the answer.
-  std::unordered_map<std::string, std::shared_ptr<QueryRun>> rests_;
-  uint64_t last_rest_ = 0;
+  std::unordered_map<std::string, std::shared_ptr<QueryRun>> remainders_;
+  uint64_t last_token_number_ = 0;
   // Queries that a peer is running for this instance.
-  struct HandedOut {
+  struct ForwardedRequest {
     std::shared_ptr<HttpSession> session;
     HttpRequest request;
-    std::function<void()> give_up;
+    std::function<void()> cancel;
   };
-  std::unordered_map<HttpSession*, HandedOut> handed_out_;
+  std::unordered_map<HttpSession*, ForwardedRequest> forwarded_requests_;
 };
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends.cc
+++ b/packages/edge/src/backends.cc
@@ -14,14 +14,14 @@
 // A superfluous attempt may finish within this time, which keeps the connection
 // and gives a latency sample of the server; after that the connection is closed
 // to free the server's slot.
-constexpr Millis kAbandonedTime{350};
+constexpr Millis kAbandonGrace{350};
 
 // Lower bound, so that a service whose servers are all slow has a finite wait.
-constexpr double kLeastAtOnce = 0.2;
+constexpr double kMinConcurrency = 0.2;
 
-using Place = std::map<WaitKey, Waiting>::const_iterator;
+using QueuePosition = std::map<QueueKey, QueuedPart>::const_iterator;
 
-double PartsIn(Place begin, Place end) {
+double PartCount(QueuePosition begin, QueuePosition end) {
   return static_cast<double>(std::distance(begin, end));
 }
 
@@ -29,14 +29,14 @@
 
 Backends::Backends(Loop* loop, BackendsPolicy policy, Prober* prober)
     : loop_(loop), policy_(std::move(policy)), prober_(prober) {
-  sweep_ =
-      loop_->At(SteadyNow() + kSweepInterval, [this] { LookForSilence(); });
+  silence_timer_ = loop_->RunAt(SteadyNow() + kSilenceCheckInterval,
+                                [this] { CheckSilentServers(); });
 }
 
 // Closes all channels: a channel and its stream hold references to each other
 // until one is closed.
 Backends::~Backends() {
-  loop_->Cancel(sweep_);
+  loop_->Cancel(silence_timer_);
   for (const auto& [id, server] : servers_) {
     for (const auto& it : server->idle) it->Close();
   }
@@ -55,25 +55,25 @@
 }
 
 engine::ExtraAttemptLimits Backends::LimitsOf(const ServiceState& state) const {
-  auto limits = policy_.extra;
+  auto limits = policy_.extra_attempt_limits;
   limits.slack = state.share.slack;
   return limits;
 }
 
-bool Backends::HasExtra(const ServiceId& service, double reserve) {
+bool Backends::HasExtraAttempt(const ServiceId& service, double reserve) {
   const auto& state = StateOf(service);
-  return engine::HasExtraAttempt(state.extra, LimitsOf(state), loop_->now(),
-                                 reserve);
+  return engine::HasExtraAttempt(state.extra_budget, LimitsOf(state),
+                                 loop_->now(), reserve);
 }
 
-void Backends::TakeExtra(const ServiceId& service) {
+void Backends::TakeExtraAttempt(const ServiceId& service) {
   auto& state = StateOf(service);
-  engine::TakeExtraAttempt(&state.extra, LimitsOf(state), loop_->now());
+  engine::TakeExtraAttempt(&state.extra_budget, LimitsOf(state), loop_->now());
 }
 
 void Backends::CountRequest(const ServiceId& service) {
   auto& state = StateOf(service);
-  engine::CountRequest(&state.extra, LimitsOf(state), loop_->now());
+  engine::CountRequest(&state.extra_budget, LimitsOf(state), loop_->now());
 }
 
 void Backends::SetShare(const ServiceId& service, const ServiceShare& share) {
@@ -82,168 +82,179 @@
   state.share.connections = std::max(1, share.connections);
 }
 
-bool Backends::HasServerInReach(const ServiceId& service,
-                                const engine::AllowedDataCentres& homes) const {
+bool Backends::HasAvailableServer(
+    const ServiceId& service,
+    const engine::AllowedDataCentres& allowed_data_centres) const {
   const auto found = services_.find(service);
   if (found == services_.end()) return false;
   const auto& servers = found->second->servers;
-  return std::any_of(servers.begin(), servers.end(),
-                     [&](auto& it) { return MayServe(*it, homes); });
+  return std::any_of(servers.begin(), servers.end(), [&](auto& it) {
+    return MayServe(*it, allowed_data_centres);
+  });
 }
 
-std::optional<engine::ShardEstimate> Backends::Outlook(
-    const ServiceId& service, Millis usual, Millis due,
-    const engine::AllowedDataCentres& homes) const {
+std::optional<engine::ShardEstimate> Backends::EstimateShard(
+    const ServiceId& service, Millis median_latency, Millis due,
+    const engine::AllowedDataCentres& allowed_data_centres) const {
   const auto found = services_.find(service);
   if (found == services_.end()) return std::nullopt;
   const auto& state = *found->second;
   std::optional<Millis> fastest;
-  double at_once = 0;
+  double concurrency = 0;
   for (const auto& it : state.servers) {
-    const auto& belief = it->belief;
-    if (!MayServe(*it, homes)) continue;
-    const Millis cost =
-        usual * engine::RelativeLatency(belief, policy_.choice, loop_->now());
-    fastest = fastest ? Min(*fastest, cost) : cost;
-    double here =
-        static_cast<double>(engine::OpenAttemptLimit(belief, policy_.choice)) *
-        (usual.count / cost.count);
-    if (state.share.when_cold && loop_->now() < belief.warm_at) {
-      here = std::min(here, *state.share.when_cold *
-                                (usual.count / engine::kColdWindow.count));
+    const auto& view = it->view;
+    if (!MayServe(*it, allowed_data_centres)) continue;
+    const Millis service_time =
+        median_latency *
+        engine::RelativeLatency(view, policy_.choice, loop_->now());
+    fastest = fastest ? Min(*fastest, service_time) : service_time;
+    double server_concurrency =
+        static_cast<double>(engine::OpenAttemptLimit(view, policy_.choice)) *
+        (median_latency.count / service_time.count);
+    if (state.share.cold_allowance && loop_->now() < view.warm_at) {
+      server_concurrency =
+          std::min(server_concurrency,
+                   *state.share.cold_allowance *
+                       (median_latency.count / engine::kColdWindow.count));
     }
-    at_once += here;
+    concurrency += server_concurrency;
   }
   if (!fastest) return std::nullopt;
-  engine::ShardEstimate outlook{Millis(0), *fastest, Millis(0)};
-  if (state.waiting.empty()) return outlook;
-  const Millis each = usual * (1 / std::max(at_once, kLeastAtOnce));
-  const auto& waiting = state.waiting;
-  const auto in_time = waiting.upper_bound({false, due.count, 0, 0});
-  const auto behind = waiting.upper_bound({true, due.count, 0, 0});
-  outlook.queue_wait = each * PartsIn(waiting.begin(), in_time);
-  outlook.deprioritized_wait =
-      outlook.queue_wait + each * PartsIn(in_time, behind);
-  return outlook;
+  engine::ShardEstimate estimate{Millis(0), *fastest, Millis(0)};
+  if (state.queue.empty()) return estimate;
+  const Millis time_per_part =
+      median_latency * (1 / std::max(concurrency, kMinConcurrency));
+  const auto& queue = state.queue;
+  const auto on_time_end = queue.upper_bound({false, due.count, 0, 0});
+  const auto deprioritized_end = queue.upper_bound({true, due.count, 0, 0});
+  estimate.queue_wait = time_per_part * PartCount(queue.begin(), on_time_end);
+  estimate.deprioritized_wait =
+      estimate.queue_wait +
+      time_per_part * PartCount(on_time_end, deprioritized_end);
+  return estimate;
 }
 
-Backends::Server* Backends::Choose(const AttemptOrder& order) {
-  auto& state = StateOf(order.service);
+Backends::Server* Backends::ChooseServer(const AttemptSpec& spec) {
+  auto& state = StateOf(spec.service);
   const Millis now = loop_->now();
-  static const engine::AllowedDataCentres anywhere;
-  const auto& homes = order.homes != nullptr ? *order.homes : anywhere;
+  static const engine::AllowedDataCentres unrestricted;
+  const auto& allowed_data_centres = spec.allowed_data_centres != nullptr
+                                         ? *spec.allowed_data_centres
+                                         : unrestricted;
   auto choice = policy_.choice;
   choice.max_open_attempts =
       std::min(choice.max_open_attempts, state.share.connections);
-  choice.cold_allowance = state.share.when_cold;
-  JoinPauseCycle(&state, order.budget_of);
+  choice.cold_allowance = state.share.cold_allowance;
+  JoinPauseCycle(&state, spec.budget_service);
   choice.pause_cycle = state.pause_cycle.get();
   if (policy_.mechanisms.dearer_failing &&
-      !HasExtra(order.budget_of, engine::kUrgentReserve)) {
+      !HasExtraAttempt(spec.budget_service, engine::kUrgentReserve)) {
     choice.failure_cost = choice.unbudgeted_failure_cost;
   }
-  std::vector<const engine::ServerView*> beliefs;
+  std::vector<const engine::ServerView*> views;
   std::vector<Server*> servers;
   const size_t n = state.servers.size();
-  ++state.turn;
+  ++state.rotation;
   for (size_t i = 0; i < n; ++i) {
-    Server* server = state.servers[(i + state.turn) % n].get();
-    const auto& belief = server->belief;
-    if (!MayServe(*server, homes)) continue;
-    if (order.only_unsuspected && engine::IsPauseSuspected(belief, now))
-      continue;
-    if (std::find(order.excluded.begin(), order.excluded.end(),
-                  belief.entry.id) != order.excluded.end()) {
+    Server* server = state.servers[(i + state.rotation) % n].get();
+    const auto& view = server->view;
+    if (!MayServe(*server, allowed_data_centres)) continue;
+    if (spec.skip_suspected && engine::IsPauseSuspected(view, now)) continue;
+    if (std::find(spec.excluded.begin(), spec.excluded.end(), view.entry.id) !=
+        spec.excluded.end()) {
       continue;
     }
-    beliefs.push_back(&belief);
+    views.push_back(&view);
     servers.push_back(server);
   }
-  const auto best = engine::ChooseServer(beliefs, choice, order.usual, now);
+  const auto best =
+      engine::ChooseServer(views, choice, spec.median_latency, now);
   return best ? servers[*best] : nullptr;
 }
 
-void Backends::JoinPauseCycle(ServiceState* state, const ServiceId& kind) {
+void Backends::JoinPauseCycle(ServiceState* state,
+                              const ServiceId& budget_service) {
   if (state->pause_cycle || !policy_.mechanisms.expected_pauses) return;
-  auto& cycle = pause_cycles_[kind];
+  auto& cycle = pause_cycles_[budget_service];
   if (!cycle) cycle = std::make_shared<engine::PauseCycle>();
   state->pause_cycle = cycle;
 }
 
-std::optional<StartedAttempt> Backends::TryStart(AttemptOrder order) {
-  Server* chosen = Choose(order);
+std::optional<StartedAttempt> Backends::TryStart(AttemptSpec spec) {
+  Server* chosen = ChooseServer(spec);
   if (chosen == nullptr) return std::nullopt;
   const auto server = chosen->shared_from_this();
-  const AttemptId id(++last_attempt_);
-  engine::RecordSent(&server->belief,
-                     {id, loop_->now(), loop_->now() + order.overdue_after});
-  if (StateOf(order.service).share.when_cold) {
-    engine::AddRecentSend(&server->belief.recent_sends, loop_->now());
+  const AttemptId id(++last_attempt_id_);
+  engine::RecordSent(&server->view,
+                     {id, loop_->now(), loop_->now() + spec.overdue_after});
+  if (StateOf(spec.service).share.cold_allowance) {
+    engine::AddRecentSend(&server->view.recent_sends, loop_->now());
   }
   auto attempt = std::make_unique<Attempt>();
   attempt->server = server;
-  attempt->order = std::move(order);
-  attempt->sent = loop_->now();
-  const bool once = attempt->order.once;
+  attempt->spec = std::move(spec);
+  attempt->sent_at = loop_->now();
+  const bool not_idempotent = attempt->spec.not_idempotent;
   attempts_.emplace(id, std::move(attempt));
-  if (const auto channel = TakeIdle(server.get(), once)) {
-    SendOn(channel, id);
+  if (const auto channel = TakeIdleChannel(server.get(), not_idempotent)) {
+    SendOnChannel(channel, id);
   } else {
-    OpenFor(server, id);
+    ConnectFor(server, id);
   }
-  return StartedAttempt{id, server->belief.entry.id};
+  return StartedAttempt{id, server->view.entry.id};
 }
 
 // Takes the connection used last, which is the most likely to be alive.
-std::shared_ptr<HttpChannel> Backends::TakeIdle(Server* server, bool once) {
+std::shared_ptr<HttpChannel> Backends::TakeIdleChannel(Server* server,
+                                                       bool not_idempotent) {
   auto& idle = server->idle;
   while (!idle.empty()) {
     auto channel = idle.back();
     idle.pop_back();
     if (!channel->IsIdle()) continue;
     const Millis age = loop_->now() - channel->idle_since();
-    const Millis bound =
-        once ? server->idle_timeout * 0.5 : server->idle_timeout * 0.9;
-    if (age < bound) return channel;
+    const Millis max_age = not_idempotent ? server->idle_timeout * 0.5
+                                          : server->idle_timeout * 0.9;
+    if (age < max_age) return channel;
     channel->Close();
   }
   return nullptr;
 }
 
-void Backends::OpenFor(const std::shared_ptr<Server>& server, AttemptId id) {
+void Backends::ConnectFor(const std::shared_ptr<Server>& server, AttemptId id) {
   auto channel = std::make_shared<HttpChannel>(loop_);
   attempts_.at(id)->channel = channel;
-  channel->Connect(server->belief.entry.address, policy_.connect_timeout,
+  channel->Connect(server->view.entry.address, policy_.connect_timeout,
                    [this, server, channel, id](bool ok) {
-                     const bool wanted = attempts_.contains(id);
+                     const bool is_needed = attempts_.contains(id);
                      if (!ok) {
-                       if (!wanted) return;
-                       Probe(server);
+                       if (!is_needed) return;
+                       ScheduleProbe(server);
                        EndAttempt(id, AttemptEnd::kNotSent, {});
                        return;
                      }
-                     if (wanted && IsEvacuated(*server)) {
+                     if (is_needed && IsEvacuated(*server)) {
                        KeepChannel(server, channel);
                        EndAttempt(id, AttemptEnd::kNotSent, {});
-                     } else if (wanted) {
-                       attempts_.at(id)->sent = loop_->now();
-                       SendOn(channel, id);
+                     } else if (is_needed) {
+                       attempts_.at(id)->sent_at = loop_->now();
+                       SendOnChannel(channel, id);
                      } else {
                        KeepChannel(server, channel);
                      }
                    });
 }
 
-void Backends::SendOn(const std::shared_ptr<HttpChannel>& channel,
-                      AttemptId id) {
+void Backends::SendOnChannel(const std::shared_ptr<HttpChannel>& channel,
+                             AttemptId id) {
   auto& attempt = *attempts_.at(id);
   attempt.channel = channel;
   attempt.was_sent = true;
   HttpChannel::Exchange exchange;
-  exchange.text = attempt.order.text_for(attempt.server->belief.entry.id);
-  exchange.to_head = attempt.order.to_head;
-  exchange.reply_bytes = policy_.reply_bytes;
-  exchange.is_ours = attempt.order.is_ours;
+  exchange.text = attempt.spec.serialize_for(attempt.server->view.entry.id);
+  exchange.is_head = attempt.spec.is_head;
+  exchange.max_reply_bytes = policy_.max_reply_bytes;
+  exchange.accepts_reply = attempt.spec.accepts_reply;
   exchange.on_reply = [this, id](ExchangeEnd end, HttpReply reply) {
     OnReply(id, end, std::move(reply));
   };
@@ -257,7 +268,7 @@
   const auto channel = found->second->channel;
   if (end == ExchangeEnd::kReply) {
     RecordContact(server.get());
-    NoteIdleTimeout(reply, &server->idle_timeout);
+    ReadIdleTimeout(reply, &server->idle_timeout);
     if (channel->IsIdle()) KeepChannel(server, channel);
     EndAttempt(id, AttemptEnd::kReply, std::move(reply));
   } else {
@@ -272,83 +283,84 @@
   attempts_.erase(found);
   const auto server = attempt->server;
   if (end != AttemptEnd::kReply) {
-    prober_->NoteFailed(server->belief.entry.data_centre);
+    prober_->RecordFailure(server->view.entry.data_centre);
   }
   AttemptResult result;
   result.id = id;
-  result.server = server->belief.entry.id;
-  result.belief = {server, &server->belief};
+  result.server = server->view.entry.id;
+  result.view = {server, &server->view};
   result.end = end;
   result.reply = std::move(reply);
-  result.latency = loop_->now() - attempt->sent;
-  if (attempt->order.on_end) {
-    attempt->order.on_end(std::move(result));
+  result.latency = loop_->now() - attempt->sent_at;
+  if (attempt->spec.on_end) {
+    attempt->spec.on_end(std::move(result));
   }
   // on_end has recorded the result; this removes the attempt if it did not.
-  engine::RecordCancelled(&server->belief, id);
-  Forget(server);
-  PumpSoon(server->belief.entry.service);
+  engine::RecordCancelled(&server->view, id);
+  EraseIfUnused(server);
+  ScheduleDispatch(server->view.entry.service);
 }
 
 void Backends::Abandon(AttemptId id, bool stop_server) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto& attempt = *found->second;
-  attempt.order.on_end = nullptr;
+  attempt.spec.on_end = nullptr;
   // Where parts wait for a slot, superfluous work delays them: in a query
   // answered at its target, two of twenty parts are superfluous. A new
   // connection costs less.
-  const auto& waiting = StateOf(attempt.server->belief.entry.service).waiting;
-  const bool in_the_way =
-      policy_.mechanisms.room_from_abandoned && !waiting.empty();
-  if (!stop_server && !in_the_way) {
+  const auto& queue = StateOf(attempt.server->view.entry.service).queue;
+  const bool blocks_queue =
+      policy_.mechanisms.room_from_abandoned && !queue.empty();
+  if (!stop_server && !blocks_queue) {
     // The reply is still a latency sample of the server.
-    attempt.order.on_end =
-        [this, usual = attempt.order.usual](const AttemptResult& it) {
-          if (it.end == AttemptEnd::kReply) {
-            NoteReply(it, usual);
-          }
-        };
-    loop_->At(loop_->now() + kAbandonedTime, [this, id] { Abandon(id, true); });
+    attempt.spec.on_end = [this, median_latency = attempt.spec.median_latency](
+                              const AttemptResult& it) {
+      if (it.end == AttemptEnd::kReply) {
+        RecordReply(it, median_latency);
+      }
+    };
+    loop_->RunAt(loop_->now() + kAbandonGrace,
+                 [this, id] { Abandon(id, true); });
     return;
   }
   if (attempt.channel && attempt.was_sent) attempt.channel->Close();
-  DoubtSilent(attempt.server, attempt.sent);
+  SuspectIfSilent(attempt.server, attempt.sent_at);
   EndAttempt(id, AttemptEnd::kBroken, {});
 }
 
 void Backends::KeepChannel(const std::shared_ptr<Server>& server,
                            const std::shared_ptr<HttpChannel>& channel) {
-  if (server->belief.removed || server->belief.draining) {
+  if (server->view.removed || server->view.draining) {
     channel->Close();
     return;
   }
   RecordContact(server.get());
-  server->belief.unreachable = false;
+  server->view.unreachable = false;
   std::erase_if(server->idle, [](auto& it) { return !it->IsIdle(); });
   server->idle.push_back(channel);
 }
 
-void Backends::NoteFailure(const AttemptResult& result) {
-  engine::RecordFailure(result.belief.get(), result.id, policy_.choice,
+void Backends::RecordFailure(const AttemptResult& result) {
+  engine::RecordFailure(result.view.get(), result.id, policy_.choice,
                         loop_->now());
 }
 
-void Backends::NoteWarmup(const AttemptResult& result, Millis left) {
-  result.belief->warm_at = loop_->now() + left;
+void Backends::RecordWarmup(const AttemptResult& result, Millis left) {
+  result.view->warm_at = loop_->now() + left;
 }
 
-void Backends::NoteReply(const AttemptResult& result, Millis usual) {
-  engine::RecordReply(result.belief.get(), result.id, result.latency, usual,
-                      policy_.choice, loop_->now());
-  auto* server = result.belief.get();
+void Backends::RecordReply(const AttemptResult& result, Millis median_latency) {
+  engine::RecordReply(result.view.get(), result.id, result.latency,
+                      median_latency, policy_.choice, loop_->now());
+  auto* server = result.view.get();
   const auto& cycle = StateOf(server->entry.service).pause_cycle;
   if (!cycle) return;
-  const auto load = engine::ParseLoadReport(
+  const auto report = engine::ParseLoadReport(
       FindHeader(result.reply.headers, policy_.load_header));
-  engine::RecordReplyLatency(&server->pauses, cycle.get(), result.latency,
-                             usual * (load ? load->work_factor : 1),
-                             loop_->now());
+  engine::RecordReplyLatency(
+      &server->pauses, cycle.get(), result.latency,
+      median_latency * (report ? report->work_factor : 1), loop_->now());
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends_impl.h
+++ b/packages/edge/src/backends_impl.h
@@ -13,39 +13,39 @@
 inline constexpr Millis kDefaultIdleTimeout{5000};
 
 // Interval at which open attempts are checked for silent servers.
-inline constexpr Millis kSweepInterval{100};
+inline constexpr Millis kSilenceCheckInterval{100};
 
 struct Backends::Server : std::enable_shared_from_this<Backends::Server> {
-  engine::ServerView belief;
+  engine::ServerView view;
   std::vector<std::shared_ptr<HttpChannel>> idle;
   Millis idle_timeout = kDefaultIdleTimeout;
   // Time of the last reply or successful connect.
-  Millis heard{-1};
+  Millis last_contact{-1};
   bool probing = false;
 };
 
 struct Backends::ServiceState {
   ServiceId id;
   std::vector<std::shared_ptr<Server>> servers;
-  engine::ExtraAttemptBudget extra;
+  engine::ExtraAttemptBudget extra_budget;
   ServiceShare share;
-  std::map<WaitKey, Waiting> waiting;
+  std::map<QueueKey, QueuedPart> queue;
   // Shared by the shards that are queried together with this service.
   std::shared_ptr<engine::PauseCycle> pause_cycle;
-  size_t turn = 0;
-  Loop::TimerId timer = 0;
-  bool pump_posted = false;
+  size_t rotation = 0;
+  Loop::TimerId dispatch_timer = 0;
+  bool dispatch_posted = false;
 };
 
 struct Backends::Attempt {
   std::shared_ptr<Server> server;
   std::shared_ptr<HttpChannel> channel;
-  AttemptOrder order;
-  Millis sent;
+  AttemptSpec spec;
+  Millis sent_at;
   bool was_sent = false;
 };
 
 // Reads the idle timeout from the reply's Keep-Alive header, if present.
-void NoteIdleTimeout(const HttpReply& reply, Millis* idle_timeout);
+void ReadIdleTimeout(const HttpReply& reply, Millis* idle_timeout);
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends_queue.cc
+++ b/packages/edge/src/backends_queue.cc
@@ -9,63 +9,64 @@
 
 // Interval at which waiting parts are retried, since a server's backoff ends
 // without an event.
-constexpr Millis kPumpInterval{10};
+constexpr Millis kQueueRetryInterval{10};
 
 }  // namespace
 
-WaitKey Backends::Enqueue(const ServiceId& service, Waiting waiting) {
-  const bool late = waiting.behind || waiting.due < loop_->now();
-  const WaitKey key{policy_.mechanisms.late_behind && late, waiting.due.count,
-                    waiting.priority, ++last_wait_};
-  StateOf(service).waiting.emplace(key, std::move(waiting));
-  PumpSoon(service);
+QueueKey Backends::Enqueue(const ServiceId& service, QueuedPart part) {
+  const bool is_late = part.deprioritized || part.due < loop_->now();
+  const QueueKey key{policy_.mechanisms.late_behind && is_late, part.due.count,
+                     part.priority, ++last_queue_number_};
+  StateOf(service).queue.emplace(key, std::move(part));
+  ScheduleDispatch(service);
   return key;
 }
 
-void Backends::Withdraw(const ServiceId& service, const WaitKey& key) {
-  StateOf(service).waiting.erase(key);
+void Backends::RemoveQueued(const ServiceId& service, const QueueKey& key) {
+  StateOf(service).queue.erase(key);
 }
 
-void Backends::PumpSoon(const ServiceId& service) {
+void Backends::ScheduleDispatch(const ServiceId& service) {
   auto& state = StateOf(service);
-  if (state.waiting.empty() || state.pump_posted) return;
-  state.pump_posted = true;
+  if (state.queue.empty() || state.dispatch_posted) return;
+  state.dispatch_posted = true;
   loop_->Post([this, &state] {
-    state.pump_posted = false;
-    Pump(&state);
+    state.dispatch_posted = false;
+    DispatchQueue(&state);
   });
 }
 
 // Moves overdue parts after those that can still be on time. They get the slots
 // that are left and are answered late or refused at their deadline.
-void Backends::DemoteLate(ServiceState* state) {
+void Backends::DeprioritizeOverdue(ServiceState* state) {
   if (!policy_.mechanisms.late_behind) return;
-  auto& waiting = state->waiting;
-  while (!waiting.empty()) {
-    const auto first = waiting.begin();
-    const auto [late, due, priority, number] = first->first;
-    if (late || Millis(due) >= loop_->now()) return;
-    auto node = waiting.extract(first);
+  auto& queue = state->queue;
+  while (!queue.empty()) {
+    const auto first = queue.begin();
+    const auto [is_late, due, priority, number] = first->first;
+    if (is_late || Millis(due) >= loop_->now()) return;
+    auto node = queue.extract(first);
     node.key() = {true, due, priority, number};
-    node.mapped().key_changed(node.key());
-    waiting.insert(std::move(node));
+    node.mapped().on_key_changed(node.key());
+    queue.insert(std::move(node));
   }
 }
 
-void Backends::Pump(ServiceState* state) {
-  DemoteLate(state);
-  while (!state->waiting.empty()) {
-    const auto first = state->waiting.begin();
-    const WaitKey key = first->first;
-    const auto start = first->second.start;
+void Backends::DispatchQueue(ServiceState* state) {
+  DeprioritizeOverdue(state);
+  while (!state->queue.empty()) {
+    const auto first = state->queue.begin();
+    const QueueKey key = first->first;
+    const auto start = first->second.try_start;
     if (!start()) break;
-    state->waiting.erase(key);
+    state->queue.erase(key);
   }
-  if (state->waiting.empty() || state->timer != 0) return;
-  state->timer = loop_->At(loop_->now() + kPumpInterval, [this, state] {
-    state->timer = 0;
-    Pump(state);
-  });
+  if (state->queue.empty() || state->dispatch_timer != 0) return;
+  state->dispatch_timer =
+      loop_->RunAt(loop_->now() + kQueueRetryInterval, [this, state] {
+        state->dispatch_timer = 0;
+        DispatchQueue(state);
+      });
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/backends_servers.cc
+++ b/packages/edge/src/backends_servers.cc
@@ -12,7 +12,7 @@
 
 namespace hibiscuspick::edge {
 
-void NoteIdleTimeout(const HttpReply& reply, Millis* idle_timeout) {
+void ReadIdleTimeout(const HttpReply& reply, Millis* idle_timeout) {
   constexpr std::string_view kKey = "timeout=";
   constexpr double kSecond = 1000;
   const std::string_view value = FindHeader(reply.headers, "Keep-Alive");
@@ -45,21 +45,21 @@
 std::shared_ptr<Backends::Server> Backends::AddServer(
     const engine::ServerEntry& entry) {
   auto server = std::make_shared<Server>();
-  server->belief.entry = entry;
+  server->view.entry = entry;
   StateOf(entry.service).servers.push_back(server);
   servers_[entry.id] = server;
   return server;
 }
 
 void Backends::RemoveServer(const std::shared_ptr<Server>& server) {
-  if (!server->belief.removed) {
+  if (!server->view.removed) {
     Log(Part::kBackend)
         .info("server {} removed from the server list",
-              server->belief.entry.id.text);
+              server->view.entry.id.text);
   }
-  server->belief.removed = true;
-  Retire(server);
-  Forget(server);
+  server->view.removed = true;
+  CloseIdleChannels(server);
+  EraseIfUnused(server);
 }
 
 void Backends::SetServers(const std::vector<engine::ServerEntry>& entries) {
@@ -70,26 +70,26 @@
     present.insert(entry.id);
     const auto found = servers_.find(entry.id);
     auto server = found == servers_.end() ? nullptr : found->second;
-    if (server && !IsSameServer(server->belief.entry, entry)) {
+    if (server && !IsSameServer(server->view.entry, entry)) {
       RemoveServer(server);
       server = nullptr;
     }
     const bool is_new = !server;
     if (is_new) {
       server = AddServer(entry);
-    } else if (server->belief.entry == entry && !server->belief.removed) {
+    } else if (server->view.entry == entry && !server->view.removed) {
       continue;
     }
-    server->belief.removed = false;
-    server->belief.entry = entry;
-    server->belief.warm_at = now + entry.warmup_left;
-    server->belief.draining = server->belief.draining || entry.draining;
+    server->view.removed = false;
+    server->view.entry = entry;
+    server->view.warm_at = now + entry.warmup_left;
+    server->view.draining = server->view.draining || entry.draining;
     Log(Part::kBackend)
         .info("server {} of service {} at {} is {}{}", entry.id.text,
               entry.service.text, ToText(entry.address),
               is_new ? "new" : "changed", entry.draining ? ", draining" : "");
-    if (server->belief.draining) Retire(server);
-    PumpSoon(entry.service);
+    if (server->view.draining) CloseIdleChannels(server);
+    ScheduleDispatch(entry.service);
   }
   std::vector<std::shared_ptr<Server>> gone;
   for (const auto& [id, server] : servers_) {
@@ -98,20 +98,20 @@
   for (const auto& it : gone) RemoveServer(it);
 }
 
-void Backends::SetEvacuated(std::set<DataCentreId> places) {
+void Backends::SetEvacuated(std::set<DataCentreId> data_centres) {
   ++generation_;
-  const auto before = std::exchange(evacuated_, std::move(places));
+  const auto before = std::exchange(evacuated_, std::move(data_centres));
   for (const auto& [id, server] : servers_) {
-    const bool opened = before.contains(server->belief.entry.data_centre) &&
-                        !IsEvacuated(*server);
-    if (opened) TakeForCold(server.get());
-    if (opened && server->belief.unreachable) Probe(server);
+    const bool reopened = before.contains(server->view.entry.data_centre) &&
+                          !IsEvacuated(*server);
+    if (reopened) AssumeCold(server.get());
+    if (reopened && server->view.unreachable) ScheduleProbe(server);
   }
-  for (const auto& [id, state] : services_) PumpSoon(id);
+  for (const auto& [id, state] : services_) ScheduleDispatch(id);
 }
 
 bool Backends::IsEvacuated(const Server& server) const {
-  return evacuated_.contains(server.belief.entry.data_centre);
+  return evacuated_.contains(server.view.entry.data_centre);
 }
 
 bool Backends::IsEvacuated(const ServiceId& service) const {
@@ -119,72 +119,77 @@
   if (found == services_.end()) return false;
   bool any = false;
   for (const auto& it : found->second->servers) {
-    if (it->belief.removed || it->belief.draining) continue;
+    if (it->view.removed || it->view.draining) continue;
     if (!IsEvacuated(*it)) return false;
     any = true;
   }
   return any;
 }
 
-std::vector<DataCentreId> Backends::PlacesOf(
+std::vector<DataCentreId> Backends::DataCentresOf(
     const std::vector<ServiceId>& services,
-    const engine::AllowedDataCentres& homes) const {
+    const engine::AllowedDataCentres& allowed_data_centres) const {
   std::map<DataCentreId, size_t> counts;
   for (const auto& service : services) {
     const auto found = services_.find(service);
     if (found == services_.end()) continue;
-    std::set<DataCentreId> places;
+    std::set<DataCentreId> data_centres;
     for (const auto& it : found->second->servers) {
-      const auto& where = it->belief.entry.data_centre;
-      if (it->belief.removed || IsEvacuated(*it)) continue;
-      if (engine::IsAllowed(homes, where)) places.insert(where);
+      const auto& data_centre = it->view.entry.data_centre;
+      if (it->view.removed || IsEvacuated(*it)) continue;
+      if (engine::IsAllowed(allowed_data_centres, data_centre))
+        data_centres.insert(data_centre);
     }
-    for (const auto& it : places) ++counts[it];
+    for (const auto& it : data_centres) ++counts[it];
   }
-  size_t most = 0;
-  for (const auto& [place, n] : counts) most = std::max(most, n);
+  size_t max_count = 0;
+  for (const auto& [data_centre, n] : counts)
+    max_count = std::max(max_count, n);
   std::vector<DataCentreId> all;
   // A data centre that lacks a few shards will do: those are queried in other
   // data centres.
-  constexpr double kNearlyAll = 0.9;
-  for (const auto& [place, n] : counts) {
-    if (static_cast<double>(n) >= kNearlyAll * static_cast<double>(most)) {
-      all.push_back(place);
+  constexpr double kMinShardFraction = 0.9;
+  for (const auto& [data_centre, n] : counts) {
+    if (static_cast<double>(n) >=
+        kMinShardFraction * static_cast<double>(max_count)) {
+      all.push_back(data_centre);
     }
   }
   return all;
 }
 
-std::vector<DataCentreId> Backends::PlacesOfService(
-    const ServiceId& service, const engine::AllowedDataCentres& homes) const {
-  std::vector<DataCentreId> places;
+std::vector<DataCentreId> Backends::DataCentresOfService(
+    const ServiceId& service,
+    const engine::AllowedDataCentres& allowed_data_centres) const {
+  std::vector<DataCentreId> data_centres;
   const auto found = services_.find(service);
-  if (found == services_.end()) return places;
+  if (found == services_.end()) return data_centres;
   for (const auto& it : found->second->servers) {
-    const auto& belief = it->belief;
-    if (!MayServe(*it, homes) ||
-        engine::IsPauseSuspected(belief, loop_->now())) {
+    const auto& view = it->view;
+    if (!MayServe(*it, allowed_data_centres) ||
+        engine::IsPauseSuspected(view, loop_->now())) {
       continue;
     }
-    const auto& place = belief.entry.data_centre;
-    if (std::find(places.begin(), places.end(), place) == places.end()) {
-      places.push_back(place);
+    const auto& data_centre = view.entry.data_centre;
+    if (std::find(data_centres.begin(), data_centres.end(), data_centre) ==
+        data_centres.end()) {
+      data_centres.push_back(data_centre);
     }
   }
-  return places;
+  return data_centres;
 }
 
 // Closes the idle connections.
-void Backends::Retire(const std::shared_ptr<Server>& server) {
+void Backends::CloseIdleChannels(const std::shared_ptr<Server>& server) {
   for (auto& it : std::exchange(server->idle, {})) it->Close();
 }
 
 // Deletes a removed server once its last attempt has ended.
-void Backends::Forget(const std::shared_ptr<Server>& server) {
-  if (!server->belief.removed || !server->belief.open_attempts.empty()) return;
-  auto& all = StateOf(server->belief.entry.service).servers;
-  std::erase(all, server);
-  const auto listed = servers_.find(server->belief.entry.id);
+void Backends::EraseIfUnused(const std::shared_ptr<Server>& server) {
+  if (!server->view.removed || !server->view.open_attempts.empty()) return;
+  auto& servers = StateOf(server->view.entry.service).servers;
+  std::erase(servers, server);
+  const auto listed = servers_.find(server->view.entry.id);
   // Another server may be listed under its id by now.
   if (listed != servers_.end() && listed->second == server) {
     servers_.erase(listed);
--- a/packages/edge/src/byte_stream.cc
+++ b/packages/edge/src/byte_stream.cc
@@ -15,22 +15,22 @@
 using asio::ip::tcp;
 using Code = boost::system::error_code;
 
-constexpr size_t kReadBytes = 65536;
+constexpr size_t kReadBufferBytes = 65536;
 
 // TCP keepalive interval and count, and the limit for unacknowledged data: a
 // connection silenced by a partition or a lost path fails after four seconds
 // instead of never.
-constexpr int kProbeSeconds = 2;
-constexpr int kProbes = 2;
-constexpr unsigned kUnackedMillis = 4000;
+constexpr int kKeepAliveSeconds = 2;
+constexpr int kKeepAliveProbes = 2;
+constexpr unsigned kUnackedTimeoutMillis = 4000;
 
 // How long to wait for the peer's end of stream after shutting down the send
 // side. Closing with unread bytes would reset the connection and could discard
 // the last answer in the peer's buffer.
-constexpr Millis kLinger{500};
+constexpr Millis kLingerTime{500};
 
-std::array<char, kReadBytes>& SharedBuffer() {
-  thread_local std::array<char, kReadBytes> buf;
+std::array<char, kReadBufferBytes>& SharedBuffer() {
+  thread_local std::array<char, kReadBufferBytes> buf;
   return buf;
 }
 
@@ -41,7 +41,7 @@
 
 // Handlers may own the stream's owner. They are destroyed in a later iteration,
 // since one of them may be running.
-void DropLater(Loop* loop, ByteStream::Handlers* handlers) {
+void DestroyLater(Loop* loop, ByteStream::Handlers* handlers) {
   if (!handlers->on_bytes && !handlers->on_end) return;
   loop->Post([dropped = std::make_shared<ByteStream::Handlers>(
                   std::exchange(*handlers, ByteStream::Handlers()))] {});
@@ -62,11 +62,11 @@
   const int fd = socket_.native_handle();
   SetOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
   SetOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, kProbeSeconds);
+  SetOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveSeconds);
   SetOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, 1);
-  SetOption(fd, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  SetOption(fd, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
   SetOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-            static_cast<int>(kUnackedMillis));
+            static_cast<int>(kUnackedTimeoutMillis));
 }
 
 void ByteStream::Connect(const Address& address, Millis timeout,
@@ -82,28 +82,28 @@
   auto self = shared_from_this();
   auto shared_done =
       std::make_shared<std::function<void(bool)>>(std::move(done));
-  timer_ = loop_->At(loop_->now() + timeout, [self, shared_done] {
+  timer_ = loop_->RunAt(loop_->now() + timeout, [self, shared_done] {
     self->timer_ = 0;
     self->Close();
-    if (auto tell = std::exchange(*shared_done, nullptr)) tell(false);
+    if (auto notify = std::exchange(*shared_done, nullptr)) notify(false);
   });
   socket_.async_connect(tcp::endpoint(ip, address.port),
                         [self, shared_done](Code failure) {
                           self->loop_->Cancel(std::exchange(self->timer_, 0));
-                          auto tell = std::exchange(*shared_done, nullptr);
+                          auto notify = std::exchange(*shared_done, nullptr);
                           if (failure) self->Close();
-                          if (tell) tell(!failure && self->IsOpen());
+                          if (notify) notify(!failure && self->IsOpen());
                         });
 }
 
 std::optional<Millis> ByteStream::RoundTrip() {
-  constexpr double kMicros = 1000;
+  constexpr double kMicrosPerMilli = 1000;
   tcp_info info{};
   socklen_t n = sizeof(info);
   const int failed =
       getsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &n);
   if (failed != 0 || info.tcpi_rtt == 0) return std::nullopt;
-  return Millis(info.tcpi_rtt / kMicros);
+  return Millis(info.tcpi_rtt / kMicrosPerMilli);
 }
 
 void ByteStream::Start(Handlers handlers) {
@@ -173,16 +173,16 @@
 void ByteStream::End(StreamEnd how) {
   if (!IsOpen()) return;
   auto on_end = std::move(handlers_.on_end);
-  const bool tell = !lingering_;
+  const bool notify = !lingering_;
   Close();
-  if (tell && on_end) on_end(how);
+  if (notify && on_end) on_end(how);
 }
 
 void ByteStream::Close() {
   loop_->Cancel(std::exchange(timer_, 0));
   Code ec;
   socket_.close(ec);
-  DropLater(loop_, &handlers_);
+  DestroyLater(loop_, &handlers_);
 }
 
 void ByteStream::CloseWhenFlushed() {
@@ -196,13 +196,14 @@
 // meantime.
 void ByteStream::Linger() {
   lingering_ = true;
-  DropLater(loop_, &handlers_);
+  DestroyLater(loop_, &handlers_);
   Code ec;
   socket_.shutdown(tcp::socket::shutdown_send, ec);
-  timer_ = loop_->At(loop_->now() + kLinger, [self = shared_from_this()] {
-    self->timer_ = 0;
-    self->Close();
-  });
+  timer_ =
+      loop_->RunAt(loop_->now() + kLingerTime, [self = shared_from_this()] {
+        self->timer_ = 0;
+        self->Close();
+      });
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/early_requests.cc
+++ b/packages/edge/src/early_requests.cc
@@ -8,19 +8,19 @@
 
 // Counted from the start of listening; five times the duration of a normal
 // start.
-constexpr Millis kLongestHold{250};
+constexpr Millis kMaxHoldTime{250};
 
 // Limit of held requests; a normal start holds some dozens.
-constexpr size_t kMostHeld = 256;
+constexpr size_t kMaxHeldRequests = 256;
 
 // Reduces the deadline header by the time the request was held.
-void TakeOff(std::vector<Header>* headers, std::string_view name,
-             Millis waited) {
+void DeductWait(std::vector<Header>* headers, std::string_view name,
+                Millis waited) {
   for (auto& it : *headers) {
-    if (!SameName(it.name, name)) continue;
-    const auto said = WholeNumber(it.value);
-    if (!said) return;
-    const auto left = *said - static_cast<int64_t>(waited.count);
+    if (!EqualsIgnoreCase(it.name, name)) continue;
+    const auto deadline = ParseInteger(it.value);
+    if (!deadline) return;
+    const auto left = *deadline - static_cast<int64_t>(waited.count);
     it.value = std::to_string(std::max<int64_t>(left, 1));
   }
 }
@@ -33,16 +33,18 @@
       deadline_header_(std::move(deadline_header)),
       serve_(std::move(serve)) {}
 
-void EarlyRequests::Begin() {
+void EarlyRequests::StartHolding() {
   holding_ = true;
-  loop_->At(SteadyNow() + kLongestHold, [this] { Release(); });
+  loop_->RunAt(SteadyNow() + kMaxHoldTime, [this] { Release(); });
 }
 
 bool EarlyRequests::Hold(const std::shared_ptr<HttpSession>& session,
                          HttpRequest* request) {
-  if (!holding_ || held_.size() >= kMostHeld) return false;
-  session->set_on_gone([this, gone = session.get()] {
-    std::erase_if(held_, [gone](auto& it) { return it.session.get() == gone; });
+  if (!holding_ || held_.size() >= kMaxHeldRequests) return false;
+  session->set_on_disconnect([this, disconnected = session.get()] {
+    std::erase_if(held_, [disconnected](auto& it) {
+      return it.session.get() == disconnected;
+    });
   });
   held_.push_back({session, std::move(*request), loop_->now()});
   return true;
@@ -51,8 +53,9 @@
 void EarlyRequests::Release() {
   holding_ = false;
   for (auto& it : std::exchange(held_, {})) {
-    TakeOff(&it.request.headers, deadline_header_, loop_->now() - it.came);
-    it.session->set_on_gone(nullptr);
+    DeductWait(&it.request.headers, deadline_header_,
+               loop_->now() - it.arrived_at);
+    it.session->set_on_disconnect(nullptr);
     serve_(it.session, std::move(it.request));
   }
 }
--- a/packages/edge/src/http_channel.cc
+++ b/packages/edge/src/http_channel.cc
@@ -29,8 +29,8 @@
 void HttpChannel::Send(Exchange exchange) {
   busy_ = true;
   exchange_ = std::move(exchange);
-  reader_ =
-      std::make_unique<ReplyReader>(exchange_.to_head, exchange_.reply_bytes);
+  reader_ = std::make_unique<ReplyReader>(exchange_.is_head,
+                                          exchange_.max_reply_bytes);
   stream_->Write(std::exchange(exchange_.text, std::string()));
 }
 
@@ -39,15 +39,15 @@
     Close();
     return;
   }
-  in_.append(bytes);
-  while (busy_ && !in_.empty() && TakeReply()) {
+  buffer_.append(bytes);
+  while (busy_ && !buffer_.empty() && ParseReply()) {
   }
 }
 
 // Parses buffered bytes. Returns true if a reply to another request was
 // skipped.
-bool HttpChannel::TakeReply() {
-  const ReadState state = reader_->Read(&in_);
+bool HttpChannel::ParseReply() {
+  const ReadState state = reader_->Read(&buffer_);
   if (state == ReadState::kMore) return false;
   if (state != ReadState::kDone) {
     Finish(ExchangeEnd::kBroken, {});
@@ -55,10 +55,10 @@
   }
   HttpReply reply = reader_->Take();
   const bool interim = reply.status < kFirstFinalStatus;
-  if (interim || (exchange_.is_ours && !exchange_.is_ours(reply))) {
-    tainted_ = tainted_ || !interim;
-    reader_ =
-        std::make_unique<ReplyReader>(exchange_.to_head, exchange_.reply_bytes);
+  if (interim || (exchange_.accepts_reply && !exchange_.accepts_reply(reply))) {
+    skipped_reply_ = skipped_reply_ || !interim;
+    reader_ = std::make_unique<ReplyReader>(exchange_.is_head,
+                                            exchange_.max_reply_bytes);
     return true;
   }
   Finish(ExchangeEnd::kReply, std::move(reply));
@@ -70,7 +70,7 @@
   if (!busy_) return;
   if (how == StreamEnd::kOrderly && reader_->ReadEnd() == ReadState::kDone) {
     HttpReply reply = reader_->Take();
-    if (!exchange_.is_ours || exchange_.is_ours(reply)) {
+    if (!exchange_.accepts_reply || exchange_.accepts_reply(reply)) {
       Finish(ExchangeEnd::kReply, std::move(reply));
       return;
     }
@@ -82,8 +82,8 @@
   busy_ = false;
   idle_since_ = loop_->now();
   const bool reusable = end == ExchangeEnd::kReply && reply.keep_alive &&
-                        !reply.until_close && !tainted_ && in_.empty() &&
-                        stream_->IsFlushed();
+                        !reply.until_close && !skipped_reply_ &&
+                        buffer_.empty() && stream_->IsFlushed();
   const auto on_reply = std::exchange(exchange_.on_reply, nullptr);
   exchange_ = {};
   if (!reusable) Close();
--- a/packages/edge/src/http_message.cc
+++ b/packages/edge/src/http_message.cc
@@ -32,17 +32,18 @@
 constexpr size_t kReplyHeaderBytes = 65536;
 
 template <class Parser>
-ReadState ReadInto(Parser* parser, std::string* buf) {
-  size_t used = 0;
+ReadState ParseInto(Parser* parser, std::string* buf) {
+  size_t consumed = 0;
   boost::system::error_code ec;
-  while (!parser->is_done() && used < buf->size()) {
+  while (!parser->is_done() && consumed < buf->size()) {
     const size_t n = parser->put(
-        boost::asio::buffer(buf->data() + used, buf->size() - used), ec);
-    used += n;
+        boost::asio::buffer(buf->data() + consumed, buf->size() - consumed),
+        ec);
+    consumed += n;
     if (ec) break;
     if (n == 0) break;
   }
-  buf->erase(0, used);
+  buf->erase(0, consumed);
   if (parser->is_done() && (!ec || ec == http::error::need_more)) {
     return ReadState::kDone;
   }
@@ -73,7 +74,7 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(),
                     [](char x, char y) { return Lower(x) == Lower(y); });
@@ -82,7 +83,7 @@
 std::string_view FindHeader(const std::vector<Header>& headers,
                             std::string_view name) {
   for (const auto& it : headers) {
-    if (SameName(it.name, name)) return it.value;
+    if (EqualsIgnoreCase(it.name, name)) return it.value;
   }
   return {};
 }
@@ -101,7 +102,7 @@
   return items;
 }
 
-std::optional<int64_t> WholeNumber(std::string_view text) {
+std::optional<int64_t> ParseInteger(std::string_view text) {
   int64_t n = 0;
   const char* const end = text.data() + text.size();
   const auto read = std::from_chars(text.data(), end, n);
@@ -111,17 +112,18 @@
 
 bool IsHopByHop(std::string_view name) {
   return std::any_of(kHopByHop.begin(), kHopByHop.end(),
-                     [&](auto it) { return SameName(it, name); });
+                     [&](auto it) { return EqualsIgnoreCase(it, name); });
 }
 
-std::vector<Header> EndToEnd(const std::vector<Header>& headers) {
+std::vector<Header> EndToEndHeaders(const std::vector<Header>& headers) {
   const auto named = SplitList(FindHeader(headers, "Connection"));
   std::vector<Header> kept;
   kept.reserve(headers.size() + 2);
   for (const auto& it : headers) {
     if (IsHopByHop(it.name)) continue;
-    if (std::any_of(named.begin(), named.end(),
-                    [&](auto token) { return SameName(token, it.name); })) {
+    if (std::any_of(named.begin(), named.end(), [&](auto token) {
+          return EqualsIgnoreCase(token, it.name);
+        })) {
       continue;
     }
     kept.push_back(it);
@@ -145,15 +147,15 @@
 
 ReadState RequestReader::Read(std::string* buf) {
   if (!buf->empty()) impl_->started = true;
-  return ReadInto(&impl_->parser, buf);
+  return ParseInto(&impl_->parser, buf);
 }
 
 bool RequestReader::started() const { return impl_->started; }
 
-bool RequestReader::WantsContinue() const {
+bool RequestReader::ExpectsContinue() const {
   if (!impl_->parser.is_header_done() || impl_->parser.is_done()) return false;
   const auto value = impl_->parser.get()[http::field::expect];
-  return SameName({value.data(), value.size()}, "100-continue");
+  return EqualsIgnoreCase({value.data(), value.size()}, "100-continue");
 }
 
 HttpRequest RequestReader::Take() {
@@ -171,10 +173,10 @@
   http::response_parser<http::string_body> parser;
 };
 
-ReplyReader::ReplyReader(bool to_head, size_t body_bytes)
+ReplyReader::ReplyReader(bool is_head, size_t body_bytes)
     : impl_(std::make_unique<Impl>()) {
   impl_->parser.eager(true);
-  impl_->parser.skip(to_head);
+  impl_->parser.skip(is_head);
   impl_->parser.header_limit(kReplyHeaderBytes);
   impl_->parser.body_limit(body_bytes);
 }
@@ -182,7 +184,7 @@
 ReplyReader::~ReplyReader() = default;
 
 ReadState ReplyReader::Read(std::string* buf) {
-  return ReadInto(&impl_->parser, buf);
+  return ParseInto(&impl_->parser, buf);
 }
 
 ReadState ReplyReader::ReadEnd() {
@@ -217,11 +219,11 @@
   return text;
 }
 
-std::string ToText(const HttpReply& reply, bool closes, bool to_head) {
+std::string ToText(const HttpReply& reply, bool closes, bool is_head) {
   std::string text;
   text.reserve(512 + reply.body.size());
   text.append("HTTP/1.1 ").append(std::to_string(reply.status)).append(" ");
-  text.append(StatusPhrase(reply.status)).append("\r\n");
+  text.append(ReasonPhrase(reply.status)).append("\r\n");
   for (const auto& it : reply.headers) AppendHeader(&text, it.name, it.value);
   const bool bodiless = reply.status == 204 || reply.status == 304;
   if (!bodiless) {
@@ -229,11 +231,11 @@
   }
   if (closes) AppendHeader(&text, "Connection", "close");
   text.append("\r\n");
-  if (!bodiless && !to_head) text.append(reply.body);
+  if (!bodiless && !is_head) text.append(reply.body);
   return text;
 }
 
-std::string_view StatusPhrase(int status) {
+std::string_view ReasonPhrase(int status) {
   const auto phrase =
       http::obsolete_reason(http::int_to_status(static_cast<unsigned>(status)));
   return {phrase.data(), phrase.size()};
--- a/packages/edge/src/http_session.cc
+++ b/packages/edge/src/http_session.cc
@@ -14,10 +14,10 @@
 
 // A caller may pipeline requests. More bytes than this before the current reply
 // end the connection, which bounds memory.
-constexpr size_t kMostPipelined = 1 << 20;
+constexpr size_t kMaxPipelinedBytes = 1 << 20;
 
 // Delay before the next accept after a failure, such as no free descriptors.
-constexpr Millis kAcceptPause{50};
+constexpr Millis kAcceptRetryDelay{50};
 
 }  // namespace
 
@@ -33,73 +33,74 @@
   auto self = shared_from_this();
   stream_->Start({[self](auto bytes) { self->OnBytes(bytes); },
                   [self](auto) { self->OnEnd(); }});
-  ArmIdle();
+  StartIdleTimer();
 }
 
-void HttpSession::ArmIdle() {
+void HttpSession::StartIdleTimer() {
   loop_->Cancel(timer_);
-  timer_ = loop_->At(loop_->now() + policy_->limits().idle_timeout,
-                     [self = shared_from_this()] { self->OnTimer(); });
+  timer_ = loop_->RunAt(loop_->now() + policy_->limits().idle_timeout,
+                        [self = shared_from_this()] { self->OnTimer(); });
 }
 
 void HttpSession::OnTimer() {
   timer_ = 0;
   if (busy_) return;
   if (reader_ && reader_->started()) {
-    Refuse(ReadState::kMore);
+    RejectRequest(ReadState::kMore);
     return;
   }
   End();
 }
 
 void HttpSession::OnBytes(std::string_view bytes) {
-  in_.append(bytes);
+  buffer_.append(bytes);
   if (busy_) {
-    if (in_.size() > kMostPipelined) OnEnd();
+    if (buffer_.size() > kMaxPipelinedBytes) OnEnd();
     return;
   }
-  ReadOn();
+  ReadRequest();
 }
 
-void HttpSession::ReadOn() {
-  if (in_.empty()) return;
+void HttpSession::ReadRequest() {
+  if (buffer_.empty()) return;
   const auto limits = policy_->limits();
   if (!reader_) {
     reader_ =
         std::make_unique<RequestReader>(limits.header_bytes, limits.body_bytes);
-    continued_ = false;
+    sent_continue_ = false;
     loop_->Cancel(timer_);
-    timer_ = loop_->At(loop_->now() + limits.header_timeout,
-                       [self = shared_from_this()] { self->OnTimer(); });
+    timer_ = loop_->RunAt(loop_->now() + limits.header_timeout,
+                          [self = shared_from_this()] { self->OnTimer(); });
   }
-  const ReadState state = reader_->Read(&in_);
+  const ReadState state = reader_->Read(&buffer_);
   if (state == ReadState::kMore) {
-    if (!continued_ && reader_->WantsContinue()) {
-      continued_ = true;
+    if (!sent_continue_ && reader_->ExpectsContinue()) {
+      sent_continue_ = true;
       stream_->Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
     return;
   }
   if (state != ReadState::kDone) {
-    Refuse(state);
+    RejectRequest(state);
     return;
   }
   loop_->Cancel(std::exchange(timer_, 0));
   HttpRequest request = reader_->Take();
   reader_.reset();
-  if (is_first_) round_trip_ = stream_->RoundTrip();
+  if (is_first_request_) round_trip_ = stream_->RoundTrip();
   // On a new connection the caller has also waited for the TCP handshake.
-  if (round_trip_) request.on_the_way = *round_trip_ * (is_first_ ? 2 : 1);
-  is_first_ = false;
+  if (round_trip_)
+    request.network_time = *round_trip_ * (is_first_request_ ? 2 : 1);
+  is_first_request_ = false;
   busy_ = true;
-  to_head_ = request.method == "HEAD";
+  is_head_ = request.method == "HEAD";
   keep_alive_ = request.keep_alive;
   policy_->on_request(shared_from_this(), std::move(request));
 }
 
 // Answers a malformed, oversized or incomplete request and closes the
 // connection, since the start of the next request is unknown.
-void HttpSession::Refuse(ReadState state) {
+void HttpSession::RejectRequest(ReadState state) {
   HttpReply reply;
   reply.status = state == ReadState::kMore           ? 408
                  : state == ReadState::kHeaderTooBig ? 431
@@ -112,42 +113,42 @@
 void HttpSession::Reply(const HttpReply& reply) {
   if (!busy_ || !stream_->IsOpen()) return;
   busy_ = false;
-  on_gone_ = nullptr;
+  on_disconnect_ = nullptr;
   const bool closes = !keep_alive_ || policy_->closing();
-  stream_->Write(ToText(reply, closes, to_head_));
+  stream_->Write(ToText(reply, closes, is_head_));
   if (closes) {
     End();
     return;
   }
-  ArmIdle();
-  if (!in_.empty()) {
+  StartIdleTimer();
+  if (!buffer_.empty()) {
     // Posted, so that a long series of pipelined requests does not recurse.
     loop_->Post([self = shared_from_this()] {
-      if (!self->busy_ && self->stream_->IsOpen()) self->ReadOn();
+      if (!self->busy_ && self->stream_->IsOpen()) self->ReadRequest();
     });
   }
 }
 
 void HttpSession::OnEnd() {
   busy_ = false;
-  if (on_gone_) std::exchange(on_gone_, nullptr)();
+  if (on_disconnect_) std::exchange(on_disconnect_, nullptr)();
   End();
 }
 
 void HttpSession::Abort() {
   loop_->Cancel(std::exchange(timer_, 0));
-  on_gone_ = nullptr;
+  on_disconnect_ = nullptr;
   on_end_ = nullptr;
   stream_->Close();
 }
 
 void HttpSession::CloseIfIdle() {
-  if (!busy_ && !(reader_ && reader_->started()) && in_.empty()) End();
+  if (!busy_ && !(reader_ && reader_->started()) && buffer_.empty()) End();
 }
 
 void HttpSession::End() {
   loop_->Cancel(std::exchange(timer_, 0));
-  on_gone_ = nullptr;
+  on_disconnect_ = nullptr;
   stream_->CloseWhenFlushed();
   if (on_end_) std::exchange(on_end_, nullptr)();
 }
@@ -176,23 +177,23 @@
       [this](boost::system::error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted) return;
         if (ec) {
-          loop_->At(loop_->now() + kAcceptPause, [this] { Accept(); });
+          loop_->RunAt(loop_->now() + kAcceptRetryDelay, [this] { Accept(); });
           return;
         }
-        Begin(std::move(socket));
+        StartSession(std::move(socket));
         Accept();
       });
 }
 
-void HttpListener::Begin(tcp::socket socket) {
+void HttpListener::StartSession(tcp::socket socket) {
   // Weak reference: a strong one in its own callback would keep the session
   // alive.
-  auto holder = std::make_shared<std::weak_ptr<HttpSession>>();
+  auto weak_session = std::make_shared<std::weak_ptr<HttpSession>>();
   auto session = std::make_shared<HttpSession>(
-      loop_, std::move(socket), &policy_, [this, holder] {
-        if (const auto it = holder->lock()) sessions_.erase(it);
+      loop_, std::move(socket), &policy_, [this, weak_session] {
+        if (const auto it = weak_session->lock()) sessions_.erase(it);
       });
-  *holder = session;
+  *weak_session = session;
   sessions_.insert(session);
   session->Start();
 }
@@ -207,7 +208,7 @@
   while (!ec) {
     tcp::socket socket(loop_->io());
     acceptor_.accept(socket, ec);
-    if (!ec) Begin(std::move(socket));
+    if (!ec) StartSession(std::move(socket));
   }
   acceptor_.close(ec);
 }
@@ -218,7 +219,7 @@
   for (const auto& it : all) it->CloseIfIdle();
 }
 
-size_t HttpListener::busy() const {
+size_t HttpListener::busy_sessions() const {
   return static_cast<size_t>(
       std::count_if(sessions_.begin(), sessions_.end(),
                     [](auto& it) { return it->IsBusy(); }));
--- a/packages/edge/src/peer_sender.cc
+++ b/packages/edge/src/peer_sender.cc
@@ -13,33 +13,33 @@
 namespace {
 
 constexpr std::string_view kVersionHeader = "Hp-Config-Version";
-constexpr std::string_view kAnswerHeader = "Hp-Answer-In-Ms";
-constexpr std::string_view kEndHeader = "Hp-End-In-Ms";
+constexpr std::string_view kAnswerInHeader = "Hp-Answer-In-Ms";
+constexpr std::string_view kDeadlineInHeader = "Hp-End-In-Ms";
 constexpr std::string_view kLagsHeader = "Hp-Lags-Ms";
-constexpr std::string_view kReturningHeader = "Hp-Returning";
+constexpr std::string_view kIsRetryHeader = "Hp-Returning";
 constexpr std::string_view kShardsHeader = "Hp-Shards";
-constexpr std::string_view kWantedHeader = "Hp-Wanted";
+constexpr std::string_view kNeededHeader = "Hp-Wanted";
 
 constexpr Millis kConnectTimeout{150};
-constexpr Millis kAvoidance{1500};
-constexpr Millis kIdleTime{20000};
+constexpr Millis kBackoffTime{1500};
+constexpr Millis kMaxIdleTime{20000};
 // How long after its due time a missing answer starts the backoff of a peer
 // that answers no other query either. Under overload a sender answers few
 // queries, and those late: 60 ms put it in backoff just when its single queue
 // is most useful.
-constexpr Millis kSilence{300};
+constexpr Millis kPeerSilenceTimeout{300};
 // A missing answer this long after its due time starts probes, since the peer's
 // data centre or this one may be cut off.
-constexpr Millis kLateAnswer{20};
+constexpr Millis kLateAnswerThreshold{20};
 
 // How long a sender's utilisation report is used; after that the sender is
 // tried again.
-constexpr Millis kBusyHolds{1000};
+constexpr Millis kUtilisationReportTtl{1000};
 
-constexpr size_t kAnswerBytes = 16 << 20;
+constexpr size_t kMaxAnswerBytes = 16 << 20;
 
-std::optional<int64_t> NumberIn(const std::vector<Header>& headers,
-                                std::string_view name) {
+std::optional<int64_t> IntegerHeader(const std::vector<Header>& headers,
+                                     std::string_view name) {
   const auto text = FindHeader(headers, name);
   int64_t n = 0;
   const auto read = std::from_chars(text.data(), text.data() + text.size(), n);
@@ -48,7 +48,7 @@
 }
 
 // Formats the lag quantiles, one for each of kLagQuantiles.
-std::string JoinLags(const engine::LagBounds& lags) {
+std::string FormatLags(const engine::LagBounds& lags) {
   std::string text;
   for (const auto& it : lags) {
     text += fmt::format("{}{:.1f}", text.empty() ? "" : ",", it.count);
@@ -56,7 +56,7 @@
   return text;
 }
 
-std::optional<engine::LagBounds> SplitLags(std::string_view text) {
+std::optional<engine::LagBounds> ParseLags(std::string_view text) {
   const auto parts = SplitList(text);
   engine::LagBounds lags{};
   if (parts.size() != lags.size()) return std::nullopt;
@@ -69,91 +69,100 @@
   return lags;
 }
 
-std::string Whole(Millis it) {
+std::string FormatWholeMillis(Millis it) {
   return std::to_string(static_cast<int64_t>(it.count));
 }
 
 }  // namespace
 
-void AddHanded(const HandedQuery& query, std::vector<Header>* headers) {
+void AddForwardingHeaders(const ForwardedQuery& query,
+                          std::vector<Header>* headers) {
   const auto add = [&](std::string_view name, std::string value) {
     headers->push_back({std::string(name), std::move(value)});
   };
   add(kVersionHeader, std::to_string(query.config_version));
-  add(kAnswerHeader, Whole(query.clocks.answer_in));
-  add(kEndHeader, Whole(query.clocks.end_in));
-  add(kReturningHeader, query.clocks.returning ? "1" : "0");
-  if (query.clocks.lags) add(kLagsHeader, JoinLags(*query.clocks.lags));
-  if (!query.shards.empty()) add(kShardsHeader, JoinPlaces(query.shards));
-  if (!query.rest.token.empty()) {
-    add(kRestHeader, query.rest.token);
-    add(kWantedHeader, std::to_string(query.rest.wanted));
+  add(kAnswerInHeader, FormatWholeMillis(query.deadlines.answer_in));
+  add(kDeadlineInHeader, FormatWholeMillis(query.deadlines.deadline_in));
+  add(kIsRetryHeader, query.deadlines.is_retry ? "1" : "0");
+  if (query.deadlines.lags) add(kLagsHeader, FormatLags(*query.deadlines.lags));
+  if (!query.shard_indices.empty())
+    add(kShardsHeader, FormatIndices(query.shard_indices));
+  if (!query.remainder.token.empty()) {
+    add(kRemainderHeader, query.remainder.token);
+    add(kNeededHeader, std::to_string(query.remainder.needed));
   }
 }
 
-void NoteHop(const HttpReply& reply, Millis sent_at, engine::LagMeter* lag) {
-  const auto took = FindHeader(reply.headers, kTookHeader);
-  if (took.empty()) return;
-  const Millis peers(std::strtod(std::string(took).c_str(), nullptr));
-  engine::AddLag(lag, SteadyNow() - sent_at - peers);
+void RecordHopLatency(const HttpReply& reply, Millis sent_at,
+                      engine::LagMeter* lag) {
+  const auto processing_time = FindHeader(reply.headers, kProcessingTimeHeader);
+  if (processing_time.empty()) return;
+  const Millis peer_time(
+      std::strtod(std::string(processing_time).c_str(), nullptr));
+  engine::AddLag(lag, SteadyNow() - sent_at - peer_time);
 }
 
-std::string JoinPlaces(const std::vector<size_t>& places) {
+std::string FormatIndices(const std::vector<size_t>& indices) {
   std::string text;
-  for (const size_t it : places) {
+  for (const size_t it : indices) {
     if (!text.empty()) text += ',';
     text += std::to_string(it);
   }
   return text;
 }
 
-std::optional<std::vector<size_t>> SplitPlaces(std::string_view text) {
-  std::vector<size_t> places;
+std::optional<std::vector<size_t>> ParseIndices(std::string_view text) {
+  std::vector<size_t> indices;
   const char* at = text.data();
   const char* const end = at + text.size();
   while (at != end) {
     size_t n = 0;
     const auto read = std::from_chars(at, end, n);
     if (read.ec != std::errc()) return std::nullopt;
-    places.push_back(n);
+    indices.push_back(n);
     at = read.ptr;
     if (at == end) break;
     if (*at != ',' || ++at == end) return std::nullopt;
   }
-  return places;
+  return indices;
 }
 
-std::optional<HandedQuery> TakeHanded(std::vector<Header>* headers) {
-  const auto version = NumberIn(*headers, kVersionHeader);
-  const auto answer = NumberIn(*headers, kAnswerHeader);
-  const auto end = NumberIn(*headers, kEndHeader);
-  if (!version || !answer || !end) return std::nullopt;
-  HandedQuery query;
+std::optional<ForwardedQuery> ExtractForwardingHeaders(
+    std::vector<Header>* headers) {
+  const auto version = IntegerHeader(*headers, kVersionHeader);
+  const auto answer_in = IntegerHeader(*headers, kAnswerInHeader);
+  const auto deadline = IntegerHeader(*headers, kDeadlineInHeader);
+  if (!version || !answer_in || !deadline) return std::nullopt;
+  ForwardedQuery query;
   query.config_version = static_cast<uint64_t>(*version);
-  query.clocks.answer_in = Millis(static_cast<double>(*answer));
-  query.clocks.end_in = Millis(static_cast<double>(*end));
-  query.clocks.returning = NumberIn(*headers, kReturningHeader) == 1;
-  query.clocks.lags = SplitLags(FindHeader(*headers, kLagsHeader));
-  const auto shards = SplitPlaces(FindHeader(*headers, kShardsHeader));
+  query.deadlines.answer_in = Millis(static_cast<double>(*answer_in));
+  query.deadlines.deadline_in = Millis(static_cast<double>(*deadline));
+  query.deadlines.is_retry = IntegerHeader(*headers, kIsRetryHeader) == 1;
+  query.deadlines.lags = ParseLags(FindHeader(*headers, kLagsHeader));
+  const auto shards = ParseIndices(FindHeader(*headers, kShardsHeader));
   if (!shards) return std::nullopt;
-  query.shards = *shards;
-  query.rest.token = FindHeader(*headers, kRestHeader);
-  const auto wanted = NumberIn(*headers, kWantedHeader);
-  query.rest.wanted = wanted && *wanted > 0 ? static_cast<size_t>(*wanted) : 0;
+  query.shard_indices = *shards;
+  query.remainder.token = FindHeader(*headers, kRemainderHeader);
+  const auto needed = IntegerHeader(*headers, kNeededHeader);
+  query.remainder.needed =
+      needed && *needed > 0 ? static_cast<size_t>(*needed) : 0;
   std::erase_if(*headers, [](const Header& it) {
-    return SameName(it.name, kVersionHeader) ||
-           SameName(it.name, kAnswerHeader) || SameName(it.name, kEndHeader) ||
-           SameName(it.name, kReturningHeader) ||
-           SameName(it.name, kLagsHeader) || SameName(it.name, kShardsHeader) ||
-           SameName(it.name, kRestHeader) || SameName(it.name, kWantedHeader);
+    return EqualsIgnoreCase(it.name, kVersionHeader) ||
+           EqualsIgnoreCase(it.name, kAnswerInHeader) ||
+           EqualsIgnoreCase(it.name, kDeadlineInHeader) ||
+           EqualsIgnoreCase(it.name, kIsRetryHeader) ||
+           EqualsIgnoreCase(it.name, kLagsHeader) ||
+           EqualsIgnoreCase(it.name, kShardsHeader) ||
+           EqualsIgnoreCase(it.name, kRemainderHeader) ||
+           EqualsIgnoreCase(it.name, kNeededHeader);
   });
   return query;
 }
 
-struct PeerSender::Open {
+struct PeerSender::OpenQuery {
   engine::Peer peer;
   std::string text;
-  bool to_head = false;
+  bool is_head = false;
   std::shared_ptr<HttpChannel> channel;
   Loop::TimerId timer = 0;
   bool sent = false;
@@ -163,7 +172,7 @@
 // Closes all channels: a channel and its stream hold references to each other
 // until one is closed.
 PeerSender::~PeerSender() {
-  for (const auto& [id, channels] : idle_) {
+  for (const auto& [id, channels] : idle_channels_) {
     for (const auto& it : channels) it->Close();
   }
 }
@@ -176,222 +185,240 @@
   relays_ = relays;
 }
 
-bool PeerSender::IsAvoided(const InstanceId& peer) const {
-  const auto avoided = avoided_.find(peer);
-  return avoided != avoided_.end() && loop_->now() < avoided->second;
+bool PeerSender::IsInBackoff(const InstanceId& peer) const {
+  const auto backoff = backoff_until_.find(peer);
+  return backoff != backoff_until_.end() && loop_->now() < backoff->second;
 }
 
-void PeerSender::NoteLacking(const DataCentreId& where, double share) {
-  auto& health = health_[where];
-  const Millis before = health.backoff_until;
+void PeerSender::RecordMissingShare(const DataCentreId& data_centre,
+                                    double share) {
+  auto& health = relay_health_[data_centre];
+  const Millis backoff_before = health.backoff_until;
   engine::RecordRelay(&health, share, loop_->now());
-  if (health.backoff_until > before) {
+  if (health.backoff_until > backoff_before) {
     Log(Part::kMembers)
         .info(
             "relays in data centre {} miss too many parts: querying its shards "
             "directly",
-            where.text);
+            data_centre.text);
   }
 }
 
-bool PeerSender::TakesParts(const engine::Peer& peer,
-                            const DataCentreId& where) const {
-  return peer.data_centre == where && !prober_->IsLost(where) &&
-         !IsAvoided(peer.id);
+bool PeerSender::AcceptsParts(const engine::Peer& peer,
+                              const DataCentreId& data_centre) const {
+  return peer.data_centre == data_centre &&
+         !prober_->IsUnreachable(data_centre) && !IsInBackoff(peer.id);
 }
 
-bool PeerSender::HasRelayIn(const DataCentreId& where) const {
-  const auto health = health_.find(where);
-  if (health != health_.end() && loop_->now() < health->second.backoff_until) {
+bool PeerSender::HasRelayIn(const DataCentreId& data_centre) const {
+  const auto health = relay_health_.find(data_centre);
+  if (health != relay_health_.end() &&
+      loop_->now() < health->second.backoff_until) {
     return false;
   }
   return std::any_of(relays_.begin(), relays_.end(),
-                     [&](auto& it) { return TakesParts(it, where); });
+                     [&](auto& it) { return AcceptsParts(it, data_centre); });
 }
 
-const engine::Peer* PeerSender::RelayIn(const DataCentreId& where) {
-  if (!HasRelayIn(where)) return nullptr;
-  std::vector<const engine::Peer*> there;
+const engine::Peer* PeerSender::ChooseRelay(const DataCentreId& data_centre) {
+  if (!HasRelayIn(data_centre)) return nullptr;
+  std::vector<const engine::Peer*> candidates;
   for (const auto& it : relays_) {
-    if (TakesParts(it, where)) there.push_back(&it);
+    if (AcceptsParts(it, data_centre)) candidates.push_back(&it);
   }
   // Senders are sorted by rank, and the first knows the most servers of its
   // data centre; other relays are equal.
-  if (senders_.empty()) return there[++turn_ % there.size()];
-  const auto idle = std::find_if(there.begin(), there.end(), [&](auto* it) {
-    return BusyShare(it->id) < engine::kMaxSenderUtilisation;
-  });
-  return idle != there.end() ? *idle : there.front();
+  if (senders_.empty()) return candidates[++rotation_ % candidates.size()];
+  const auto least_busy =
+      std::find_if(candidates.begin(), candidates.end(), [&](auto* it) {
+        return UtilisationOf(it->id) < engine::kMaxSenderUtilisation;
+      });
+  return least_busy != candidates.end() ? *least_busy : candidates.front();
 }
 
 engine::SenderRank PeerSender::Rank() const {
   using engine::SenderRole;
   if (!own_) return {};
-  const auto first = engine::PrimarySenders(senders_);
+  const auto primaries = engine::PrimarySenders(senders_);
   const auto is_own = [&](auto& it) { return it.id == own_->id; };
-  const auto place_in = [&](const auto& all) {
+  const auto rank_in = [&](const auto& all) {
     return static_cast<size_t>(std::find_if(all.begin(), all.end(), is_own) -
                                all.begin());
   };
-  const size_t as_first = place_in(first);
-  if (as_first < first.size()) return {SenderRole::kPrimary, as_first};
-  const size_t among_all = place_in(senders_);
-  if (among_all == senders_.size()) return {};
+  const size_t primary_rank = rank_in(primaries);
+  if (primary_rank < primaries.size())
+    return {SenderRole::kPrimary, primary_rank};
+  const size_t overall_rank = rank_in(senders_);
+  if (overall_rank == senders_.size()) return {};
   // Primary senders before it do not count among the standbys.
-  const auto end = senders_.begin() + static_cast<std::ptrdiff_t>(among_all);
-  const auto before = std::count_if(senders_.begin(), end, [&](auto& it) {
-    return std::any_of(first.begin(), first.end(),
-                       [&](auto& other) { return other.id == it.id; });
-  });
-  return {SenderRole::kStandby, among_all - static_cast<size_t>(before)};
+  const auto end = senders_.begin() + static_cast<std::ptrdiff_t>(overall_rank);
+  const auto primaries_before =
+      std::count_if(senders_.begin(), end, [&](auto& it) {
+        return std::any_of(primaries.begin(), primaries.end(),
+                           [&](auto& other) { return other.id == it.id; });
+      });
+  return {SenderRole::kStandby,
+          overall_rank - static_cast<size_t>(primaries_before)};
 }
 
-double PeerSender::BusyShare(const InstanceId& peer) const {
-  if (own_ && peer == own_->id) return own_busy_;
-  const auto known = busy_.find(peer);
-  const bool holds =
-      known != busy_.end() && loop_->now() - known->second.said < kBusyHolds;
-  return holds ? known->second.share : 0;
+double PeerSender::UtilisationOf(const InstanceId& peer) const {
+  if (own_ && peer == own_->id) return own_utilisation_;
+  const auto known = utilisation_.find(peer);
+  const bool is_current =
+      known != utilisation_.end() &&
+      loop_->now() - known->second.reported_at < kUtilisationReportTtl;
+  return is_current ? known->second.utilisation : 0;
 }
 
-void PeerSender::NoteBusy(const InstanceId& peer, const HttpReply& reply) {
-  const std::string said(FindHeader(reply.headers, kBusyHeader));
-  if (said.empty()) return;
-  busy_[peer] = {std::strtod(said.c_str(), nullptr), loop_->now()};
+void PeerSender::RecordUtilisation(const InstanceId& peer,
+                                   const HttpReply& reply) {
+  const std::string reported(FindHeader(reply.headers, kUtilisationHeader));
+  if (reported.empty()) return;
+  utilisation_[peer] = {std::strtod(reported.c_str(), nullptr), loop_->now()};
 }
 
-std::optional<engine::Peer> PeerSender::Choose(
-    const std::vector<DataCentreId>& places,
-    const engine::AllowedDataCentres& homes) {
+std::optional<engine::Peer> PeerSender::ChoosePeer(
+    const std::vector<DataCentreId>& data_centres,
+    const engine::AllowedDataCentres& allowed_data_centres) {
   if (!own_ || senders_.empty()) return std::nullopt;
-  auto there = engine::AllowedSenders(senders_, homes);
-  std::erase_if(there, [&](auto& it) {
-    return IsAvoided(it.id) || prober_->IsLost(it.data_centre);
+  auto candidates = engine::AllowedSenders(senders_, allowed_data_centres);
+  std::erase_if(candidates, [&](auto& it) {
+    return IsInBackoff(it.id) || prober_->IsUnreachable(it.data_centre);
   });
-  const auto* chosen =
-      engine::ChooseSender(there, *own_, places, ++turn_,
-                           [this](const auto& it) { return BusyShare(it); });
+  const auto* chosen = engine::ChooseSender(
+      candidates, *own_, data_centres, ++rotation_,
+      [this](const auto& it) { return UtilisationOf(it); });
   if (chosen == nullptr) return std::nullopt;
   return *chosen;
 }
 
 std::function<void()> PeerSender::Send(const engine::Peer& peer,
-                                       std::string text, bool to_head,
+                                       std::string text, bool is_head,
                                        const Times& times, OnEnd on_end) {
-  auto open = std::make_shared<Open>();
-  open->peer = peer;
-  open->text = std::move(text);
-  open->to_head = to_head;
-  open->on_end = std::move(on_end);
-  SuspectLater(open, times.due);
-  open->timer = loop_->At(loop_->now() + times.timeout, [this, open] {
-    open->timer = 0;
-    End(open, open->sent ? HandedEnd::kBroken : HandedEnd::kNotBegun, {});
+  auto query = std::make_shared<OpenQuery>();
+  query->peer = peer;
+  query->text = std::move(text);
+  query->is_head = is_head;
+  query->on_end = std::move(on_end);
+  ScheduleSilenceChecks(query, times.due);
+  query->timer = loop_->RunAt(loop_->now() + times.timeout, [this, query] {
+    query->timer = 0;
+    Finish(query,
+           query->sent ? ForwardResult::kBroken : ForwardResult::kNotStarted,
+           {});
   });
-  auto& idle = idle_[peer.id];
-  while (!idle.empty() && !open->channel) {
+  auto& idle = idle_channels_[peer.id];
+  while (!idle.empty() && !query->channel) {
     auto channel = std::move(idle.back());
     idle.pop_back();
     if (!channel->IsIdle()) continue;
-    if (loop_->now() - channel->idle_since() > kIdleTime) {
+    if (loop_->now() - channel->idle_since() > kMaxIdleTime) {
       channel->Close();
       continue;
     }
-    open->channel = std::move(channel);
+    query->channel = std::move(channel);
   }
-  if (open->channel) {
-    SendOn(open);
+  if (query->channel) {
+    SendOnChannel(query);
   } else {
-    open->channel = std::make_shared<HttpChannel>(loop_);
-    open->channel->Connect(peer.query_address, kConnectTimeout,
-                           [this, open](bool ok) {
-                             if (!open->on_end) {
-                               open->channel->Close();
-                             } else if (ok) {
-                               SendOn(open);
-                             } else {
-                               End(open, HandedEnd::kNotBegun, {});
-                             }
-                           });
+    query->channel = std::make_shared<HttpChannel>(loop_);
+    query->channel->Connect(peer.query_address, kConnectTimeout,
+                            [this, query](bool ok) {
+                              if (!query->on_end) {
+                                query->channel->Close();
+                              } else if (ok) {
+                                SendOnChannel(query);
+                              } else {
+                                Finish(query, ForwardResult::kNotStarted, {});
+                              }
+                            });
   }
-  return [this, open] {
-    open->on_end = nullptr;
-    loop_->Cancel(std::exchange(open->timer, 0));
-    open->channel->Close();
+  return [this, query] {
+    query->on_end = nullptr;
+    loop_->Cancel(std::exchange(query->timer, 0));
+    query->channel->Close();
   };
 }
 
 // A peer that is stalled or cut off would keep all queries forwarded to it
 // until their callers' deadlines. It gets no further ones if it has answered
 // none since a query that is overdue.
-void PeerSender::SuspectLater(const std::shared_ptr<Open>& open, Millis due) {
+void PeerSender::ScheduleSilenceChecks(const std::shared_ptr<OpenQuery>& query,
+                                       Millis due) {
   const Millis sent = loop_->now();
-  const std::weak_ptr<Open> weak = open;
-  loop_->At(sent + Max(due, Millis(0)) + kLateAnswer, [this, weak, sent] {
-    const auto it = weak.lock();
-    if (!it || !it->on_end || heard_[it->peer.id] > sent) return;
-    if (own_ && it->peer.data_centre == own_->data_centre) {
-      // The peer may itself be waiting for another data centre.
-      prober_->SuspectAll(sent);
-    } else {
-      prober_->Suspect(it->peer.data_centre, sent);
-    }
-  });
-  loop_->At(sent + Max(due, Millis(0)) + kSilence, [this, weak, sent] {
+  const std::weak_ptr<OpenQuery> weak = query;
+  loop_->RunAt(sent + Max(due, Millis(0)) + kLateAnswerThreshold,
+               [this, weak, sent] {
+                 const auto it = weak.lock();
+                 if (!it || !it->on_end || last_contact_[it->peer.id] > sent)
+                   return;
+                 if (own_ && it->peer.data_centre == own_->data_centre) {
+                   // The peer may itself be waiting for another data centre.
+                   prober_->SuspectAll(sent);
+                 } else {
+                   prober_->Suspect(it->peer.data_centre, sent);
+                 }
+               });
+  loop_->RunAt(sent + Max(due, Millis(0)) + kPeerSilenceTimeout, [this, weak,
+                                                                  sent] {
     const auto it = weak.lock();
-    if (!it || !it->on_end || heard_[it->peer.id] > sent) return;
+    if (!it || !it->on_end || last_contact_[it->peer.id] > sent) return;
     Log(Part::kMembers)
         .info(
             "peer {} has not answered any query since an overdue one: backing "
             "off",
             it->peer.id.text);
-    Avoid(it->peer.id);
+    StartBackoff(it->peer.id);
   });
 }
 
-void PeerSender::Avoid(const InstanceId& peer) {
-  avoided_[peer] = loop_->now() + kAvoidance;
+void PeerSender::StartBackoff(const InstanceId& peer) {
+  backoff_until_[peer] = loop_->now() + kBackoffTime;
 }
 
-void PeerSender::SendOn(const std::shared_ptr<Open>& open) {
-  open->sent = true;
+void PeerSender::SendOnChannel(const std::shared_ptr<OpenQuery>& query) {
+  query->sent = true;
   HttpChannel::Exchange exchange;
-  exchange.text = std::move(open->text);
-  exchange.to_head = open->to_head;
-  exchange.reply_bytes = kAnswerBytes;
-  exchange.on_reply = [this, open](ExchangeEnd end, HttpReply reply) {
+  exchange.text = std::move(query->text);
+  exchange.is_head = query->is_head;
+  exchange.max_reply_bytes = kMaxAnswerBytes;
+  exchange.on_reply = [this, query](ExchangeEnd end, HttpReply reply) {
     if (end != ExchangeEnd::kReply) {
-      End(open, HandedEnd::kBroken, {});
+      Finish(query, ForwardResult::kBroken, {});
       return;
     }
-    heard_[open->peer.id] = loop_->now();
-    NoteBusy(open->peer.id, reply);
-    prober_->RecordContact(open->peer.data_centre);
-    if (open->channel->IsIdle()) idle_[open->peer.id].push_back(open->channel);
-    if (reply.status == kOutOfReach) Avoid(open->peer.id);
-    const bool begun =
-        reply.status != kOtherVersion && reply.status != kOutOfReach;
-    End(open, begun ? HandedEnd::kAnswer : HandedEnd::kNotBegun,
-        std::move(reply));
+    last_contact_[query->peer.id] = loop_->now();
+    RecordUtilisation(query->peer.id, reply);
+    prober_->RecordContact(query->peer.data_centre);
+    if (query->channel->IsIdle())
+      idle_channels_[query->peer.id].push_back(query->channel);
+    if (reply.status == kServersUnreachableStatus) StartBackoff(query->peer.id);
+    const bool started = reply.status != kVersionMismatchStatus &&
+                         reply.status != kServersUnreachableStatus;
+    Finish(query,
+           started ? ForwardResult::kAnswered : ForwardResult::kNotStarted,
+           std::move(reply));
   };
-  open->channel->Send(std::move(exchange));
+  query->channel->Send(std::move(exchange));
 }
 
-void PeerSender::End(const std::shared_ptr<Open>& open, HandedEnd end,
-                     HttpReply reply) {
-  loop_->Cancel(std::exchange(open->timer, 0));
-  const bool lost = end != HandedEnd::kAnswer && reply.status == 0;
-  if (lost) {
+void PeerSender::Finish(const std::shared_ptr<OpenQuery>& query,
+                        ForwardResult result, HttpReply reply) {
+  loop_->Cancel(std::exchange(query->timer, 0));
+  const bool no_answer =
+      result != ForwardResult::kAnswered && reply.status == 0;
+  if (no_answer) {
     Log(Part::kMembers)
         .info("peer {} did not answer a query: backing off",
-              open->peer.id.text);
-    Avoid(open->peer.id);
-    prober_->NoteFailed(open->peer.data_centre);
-    open->channel->Close();
-    for (auto& it : std::exchange(idle_[open->peer.id], {})) it->Close();
+              query->peer.id.text);
+    StartBackoff(query->peer.id);
+    prober_->RecordFailure(query->peer.data_centre);
+    query->channel->Close();
+    for (auto& it : std::exchange(idle_channels_[query->peer.id], {}))
+      it->Close();
   }
-  const auto on_end = std::exchange(open->on_end, nullptr);
-  if (on_end) on_end(end, std::move(reply));
+  const auto on_end = std::exchange(query->on_end, nullptr);
+  if (on_end) on_end(result, std::move(reply));
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/src/query_answer.cc
+++ b/packages/edge/src/query_answer.cc
@@ -10,20 +10,20 @@
 namespace hibiscuspick::edge {
 namespace {
 
-constexpr double kSecond = 1000;
+constexpr double kMillisPerSecond = 1000;
 
 // Tolerance for answers sent by the timer of the answer time.
-constexpr Millis kClockSlack{5};
+constexpr Millis kAnswerTimeTolerance{5};
 
 // Retry-After of a data centre that is cut off. It cannot serve callers until
 // the load balancer has moved them elsewhere, which takes two health checks one
 // second apart. Callers told to return after 50 ms were refused again and gave
 // up.
-constexpr Millis kBalancerNotices{2000};
+constexpr Millis kCutOffRetryAfter{2000};
 
 // Retry-After while evacuated: an operator ends an evacuation, which takes
 // seconds at least.
-constexpr Millis kEvacuationLasts{2000};
+constexpr Millis kEvacuationRetryAfter{2000};
 
 }  // namespace
 
@@ -49,111 +49,114 @@
 
 bool QueryRun::MayHaveRun() const {
   return std::any_of(parts_.begin(), parts_.end(),
-                     [](auto& it) { return !it.ran_on.empty(); });
+                     [](auto& it) { return !it.may_have_run_on.empty(); });
 }
 
 void QueryRun::Answer() {
   if (route_->gather) {
-    Finish(GatherReply(), QueryFault::kNone);
+    Finish(MergedReply(), QueryFault::kNone);
     return;
   }
   HttpReply reply = std::move(parts_[0].reply);
-  reply.headers = EndToEnd(reply.headers);
+  reply.headers = EndToEndHeaders(reply.headers);
   Finish(std::move(reply), QueryFault::kNone);
 }
 
-HttpReply QueryRun::GatherReply() const {
+HttpReply QueryRun::MergedReply() const {
   const auto& names = *context_->names;
   HttpReply reply;
   reply.status = 200;
   std::string stamps;
-  std::vector<std::string_view> bodies(merged_.begin(), merged_.end());
-  std::vector<size_t> places;
-  size_t in = 0;
+  std::vector<std::string_view> bodies(merged_bodies_.begin(),
+                                       merged_bodies_.end());
+  std::vector<size_t> shard_indices;
+  size_t received = 0;
   for (size_t i = 0; i < parts_.size(); ++i) {
     const auto& it = parts_[i];
-    if (!it.in || it.settled) continue;
-    ++in;
+    if (!it.received || it.excluded) continue;
+    ++received;
     if (!stamps.empty()) stamps += ", ";
     stamps += FindHeader(it.reply.headers, names.stamp);
     bodies.push_back(it.reply.body);
-    if (!places_.empty()) places.push_back(places_[i]);
+    if (!shard_indices_.empty()) shard_indices.push_back(shard_indices_[i]);
   }
   reply.headers.push_back({names.request_id, request_id_});
   reply.headers.push_back({names.part_stamps, std::move(stamps)});
   reply.headers.push_back(
-      {names.parts_missing, std::to_string(parts_.size() - in)});
-  if (!places_.empty()) {
-    reply.headers.push_back({std::string(kShardsInHeader), JoinPlaces(places)});
+      {names.parts_missing, std::to_string(parts_.size() - received)});
+  if (!shard_indices_.empty()) {
+    reply.headers.push_back(
+        {std::string(kShardsReceivedHeader), FormatIndices(shard_indices)});
   }
   reply.headers.push_back({"Content-Type", "application/octet-stream"});
   reply.body = engine::MergeTop(bodies, route_->gather->top);
   return reply;
 }
 
-HttpReply QueryRun::OwnReply(int status, QueryFault fault) const {
+HttpReply QueryRun::ErrorReply(int status, QueryFault fault) const {
   HttpReply reply;
   reply.status = status;
   reply.headers.push_back({context_->names->request_id, request_id_});
   reply.headers.push_back({"Content-Type", "application/json"});
   if (status == 503) {
     reply.headers.push_back(
-        {"Retry-After", fmt::format("{:.3f}", retry_after_.count / kSecond)});
+        {"Retry-After",
+         fmt::format("{:.3f}", retry_after_.count / kMillisPerSecond)});
   }
   reply.body = R"({"error":")" + std::string(FaultName(fault)) + R"("})";
   return reply;
 }
 
 // Retry-After when no server was available.
-Millis QueryRun::BackAfterNoServer() const {
+Millis QueryRun::RetryAfterNoServer() const {
   const auto& backends = *context_->backends;
-  if (backends.IsCutOff()) return kBalancerNotices;
+  if (backends.IsCutOff()) return kCutOffRetryAfter;
   const bool evacuated =
       std::any_of(parts_.begin(), parts_.end(),
                   [&](auto& it) { return backends.IsEvacuated(it.service); });
-  return evacuated ? kEvacuationLasts : backends.policy().probe_interval;
+  return evacuated ? kEvacuationRetryAfter : backends.policy().probe_interval;
 }
 
 void QueryRun::Fail(QueryFault fault) {
-  if (fault == QueryFault::kNoServer) retry_after_ = BackAfterNoServer();
+  if (fault == QueryFault::kNoServer) retry_after_ = RetryAfterNoServer();
   // For a plain request the server's own reply is passed to the caller,
   // whatever its status.
   if (!route_->gather && parts_[0].failure &&
       fault == QueryFault::kServersFailed) {
     HttpReply reply = std::move(*parts_[0].failure);
-    reply.headers = EndToEnd(reply.headers);
+    reply.headers = EndToEndHeaders(reply.headers);
     Finish(std::move(reply), fault);
     return;
   }
-  const bool ran = MayHaveRun();
-  const int status = !ran                                  ? 503
+  const bool may_have_run = MayHaveRun();
+  const int status = !may_have_run                         ? 503
                      : fault == QueryFault::kServersFailed ? 502
                                                            : 504;
-  Finish(OwnReply(status, fault), fault);
+  Finish(ErrorReply(status, fault), fault);
 }
 
-std::string QueryRun::RefusalText() const {
+std::string QueryRun::DescribeCapacity() const {
   return fmt::format(
       "capacity: queue wait {:.0f} ms, service time {:.0f} ms, target in "
       "{:.0f} ms",
-      refused_by_.queue_wait.count, refused_by_.service_time.count,
-      (clocks_.answer_at - began_).count);
+      refusal_estimate_.queue_wait.count, refusal_estimate_.service_time.count,
+      (deadlines_.answer_at - started_at_).count);
 }
 
-std::string QueryRun::LackingText() const {
-  constexpr size_t kMostNamed = 3;
+std::string QueryRun::DescribeMissing() const {
+  constexpr size_t kMaxNamed = 3;
   std::string text;
   size_t named = 0;
   for (const auto& it : parts_) {
-    if (it.in || named == kMostNamed) continue;
+    if (it.received || named == kMaxNamed) continue;
     ++named;
     if (!text.empty()) text += " ";
     text += it.service.text;
-    if (!it.ran_on.empty()) {
-      const auto& last = it.ran_on.back().text;
+    if (!it.may_have_run_on.empty()) {
+      const auto& last = it.may_have_run_on.back().text;
       text += "@" + (last.empty() ? "a-peer" : last);
     }
-    if (it.waiting) text += "(queued)";
+    if (it.queue_key) text += "(queued)";
     if (it.failed) text += "(failed)";
   }
   return text;
@@ -165,41 +168,43 @@
   outcome.reply = std::move(reply);
   outcome.fault = fault;
   outcome.shards = progress.shards;
-  outcome.shards_in = progress.received;
-  outcome.extras = extras_;
-  outcome.kept_back = static_cast<size_t>(std::count_if(
+  outcome.shards_received = progress.received;
+  outcome.extra_attempts = extra_attempts_;
+  outcome.shards_deferred = static_cast<size_t>(std::count_if(
       parts_.begin(), parts_.end(), [](auto& it) { return it.deferred; }));
-  outcome.ran = MayHaveRun();
-  outcome.took = context_->loop->now() - began_;
-  outcome.behind = behind_;
-  outcome.late = context_->loop->now() > clocks_.answer_at + kClockSlack;
+  outcome.may_have_run = MayHaveRun();
+  outcome.latency = context_->loop->now() - started_at_;
+  outcome.deprioritized = deprioritized_;
+  outcome.late =
+      context_->loop->now() > deadlines_.answer_at + kAnswerTimeTolerance;
   if (outcome.late || fault != QueryFault::kNone) {
-    outcome.lacking =
-        fault == QueryFault::kOverloaded ? RefusalText() : LackingText();
+    outcome.missing_detail = fault == QueryFault::kOverloaded
+                                 ? DescribeCapacity()
+                                 : DescribeMissing();
   }
   return outcome;
 }
 
 void QueryRun::Finish(HttpReply reply, QueryFault fault) {
-  if (!places_.empty()) {
-    reply.headers.push_back(
-        {std::string(kShardsSpentHeader), JoinPlaces(SpentPlaces())});
+  if (!shard_indices_.empty()) {
+    reply.headers.push_back({std::string(kShardsExhaustedHeader),
+                             FormatIndices(ExhaustedShards())});
   }
   QueryOutcome outcome = OutcomeOf(std::move(reply), fault);
-  const bool in_time = context_->loop->now() < clocks_.deadline;
-  if (!places_.empty() && fault == QueryFault::kNone && in_time) {
-    outcome.open = OpenPlaces();
+  const bool in_time = context_->loop->now() < deadlines_.deadline;
+  if (!shard_indices_.empty() && fault == QueryFault::kNone && in_time) {
+    outcome.open_shards = OpenShards();
   }
-  if (outcome.open.empty()) {
+  if (outcome.open_shards.empty()) {
     StopParts(false);
   } else {
-    resting_ = true;
+    awaiting_resume_ = true;
     context_->loop->Cancel(std::exchange(timer_, 0));
-    for (auto& it : parts_) it.settled = it.settled || it.in;
+    for (auto& it : parts_) it.excluded = it.excluded || it.received;
   }
   if (const auto on_done = std::exchange(on_done_, nullptr)) on_done(outcome);
-  if (by_clock_) {
-    engine::AddLag(&context_->answer_lag, SteadyNow() - clocks_.answer_at);
+  if (at_answer_timer_) {
+    engine::AddLag(&context_->answer_lag, SteadyNow() - deadlines_.answer_at);
   }
 }
 
@@ -209,9 +214,9 @@
   StopParts(true);
 }
 
-void QueryRun::GiveUp() {
+void QueryRun::AnswerNow() {
   if (done_) return;
-  if (resting_) {
+  if (awaiting_resume_) {
     StopParts(false);
     return;
   }
@@ -227,13 +232,13 @@
   done_ = true;
   context_->loop->Cancel(std::exchange(timer_, 0));
   if (caller_left) {
-    for (const auto& give_up : relays_) give_up();
+    for (const auto& cancel : cancel_relays_) cancel();
   }
-  relays_.clear();
+  cancel_relays_.clear();
   for (auto& part : parts_) {
-    if (part.waiting) {
-      context_->backends->Withdraw(part.service, *part.waiting);
-      part.waiting.reset();
+    if (part.queue_key) {
+      context_->backends->RemoveQueued(part.service, *part.queue_key);
+      part.queue_key.reset();
     }
     for (const auto& it : std::exchange(part.open, {})) {
       context_->backends->Abandon(it.id, caller_left);
--- a/packages/edge/src/query_relay.cc
+++ b/packages/edge/src/query_relay.cc
@@ -10,150 +10,158 @@
 
 // With less time than this to the answer, forwarding is not worth the extra
 // hop.
-constexpr Millis kLeastRelayTime{12};
+constexpr Millis kMinRelayTime{12};
 
 // A peer that has not answered this long after the query's own deadline is
 // given up.
-constexpr Millis kRelaySlack{20};
+constexpr Millis kRelayGrace{20};
 
 }  // namespace
 
-std::vector<size_t> QueryRun::RelayParts(const std::vector<size_t>& asked) {
+std::vector<size_t> QueryRun::RelayParts(const std::vector<size_t>& parts) {
   auto* peers = context_->peers;
-  const Millis left = clocks_.answer_at - began_;
-  if (!Uses().relays || peers == nullptr || !route_->gather ||
-      !places_.empty() ||
-      left - context_->relay_lag.typical() < kLeastRelayTime) {
-    return asked;
+  const Millis left = deadlines_.answer_at - started_at_;
+  if (!mechanisms().relays || peers == nullptr || !route_->gather ||
+      !shard_indices_.empty() ||
+      left - context_->relay_lag.typical() < kMinRelayTime) {
+    return parts;
   }
-  std::vector<std::vector<DataCentreId>> places(parts_.size());
-  for (const size_t i : asked) {
-    places[i] = context_->backends->PlacesOfService(
+  std::vector<std::vector<DataCentreId>> data_centres(parts_.size());
+  for (const size_t i : parts) {
+    data_centres[i] = context_->backends->DataCentresOfService(
         parts_[i].service, route_->allowed_data_centres);
   }
   const auto groups = engine::GroupRelays(
-      places, context_->backends->policy().choice.own_data_centre,
-      [&](const DataCentreId& where) { return peers->HasRelayIn(where); });
+      data_centres, context_->backends->policy().choice.own_data_centre,
+      [&](const DataCentreId& data_centre) {
+        return peers->HasRelayIn(data_centre);
+      });
   for (const auto& it : groups) {
     if (!SendRelay(it)) continue;
     for (const size_t i : it.shards) parts_[i].relayed = true;
   }
-  std::vector<size_t> rest;
-  std::copy_if(asked.begin(), asked.end(), std::back_inserter(rest),
+  std::vector<size_t> not_relayed;
+  std::copy_if(parts.begin(), parts.end(), std::back_inserter(not_relayed),
                [&](size_t i) { return !parts_[i].relayed; });
-  return rest;
+  return not_relayed;
 }
 
 bool QueryRun::SendRelay(const engine::RelayGroup& group) {
-  const auto* peer = context_->peers->RelayIn(group.data_centre);
+  const auto* peer = context_->peers->ChooseRelay(group.data_centre);
   if (peer == nullptr) return false;
-  const Millis left = clocks_.answer_at - began_;
-  HandedQuery query;
-  query.clocks.answer_in = left - context_->relay_lag.typical();
-  query.clocks.end_in = clocks_.deadline - began_;
-  query.shards = group.shards;
-  AskPeer(*peer, std::move(query), left,
-          [self = shared_from_this(), group, peer = *peer](
-              HandedEnd end, const HttpReply& reply) {
-            self->OnRelayed(group, peer, end, reply);
-          });
+  const Millis left = deadlines_.answer_at - started_at_;
+  ForwardedQuery query;
+  query.deadlines.answer_in = left - context_->relay_lag.typical();
+  query.deadlines.deadline_in = deadlines_.deadline - started_at_;
+  query.shard_indices = group.shards;
+  SendToPeer(*peer, std::move(query), left,
+             [self = shared_from_this(), group, peer = *peer](
+                 ForwardResult result, const HttpReply& reply) {
+               self->OnRelayAnswer(group, peer, result, reply);
+             });
   return true;
 }
 
-void QueryRun::AskPeer(
-    const engine::Peer& peer, HandedQuery query, Millis due,
-    const std::function<void(HandedEnd, const HttpReply&)>& on_end) {
+void QueryRun::SendToPeer(
+    const engine::Peer& peer, ForwardedQuery query, Millis due,
+    const std::function<void(ForwardResult, const HttpReply&)>& on_end) {
   query.config_version = config_->version;
-  HttpRequest sent = Forwarded();
-  AddHanded(query, &sent.headers);
-  relays_.push_back(context_->peers->Send(peer, ToText(sent),
-                                          request_.method == "HEAD",
-                                          {due, due + kRelaySlack}, on_end));
+  HttpRequest sent = UpstreamRequest();
+  AddForwardingHeaders(query, &sent.headers);
+  cancel_relays_.push_back(
+      context_->peers->Send(peer, ToText(sent), request_.method == "HEAD",
+                            {due, due + kRelayGrace}, on_end));
 }
 
-void QueryRun::OnRelayed(const engine::RelayGroup& group,
-                         const engine::Peer& peer, HandedEnd end,
-                         const HttpReply& reply) {
+void QueryRun::OnRelayAnswer(const engine::RelayGroup& group,
+                             const engine::Peer& peer, ForwardResult result,
+                             const HttpReply& reply) {
   const auto& shards = group.shards;
-  const auto named = SplitPlaces(FindHeader(reply.headers, kShardsInHeader));
-  const double in = named ? static_cast<double>(named->size()) : 0;
-  context_->peers->NoteLacking(group.data_centre,
-                               1 - in / static_cast<double>(shards.size()));
-  NoteHop(reply, began_, &context_->relay_lag);
+  const auto received_shards =
+      ParseIndices(FindHeader(reply.headers, kShardsReceivedHeader));
+  const double received =
+      received_shards ? static_cast<double>(received_shards->size()) : 0;
+  context_->peers->RecordMissingShare(
+      group.data_centre, 1 - received / static_cast<double>(shards.size()));
+  RecordHopLatency(reply, started_at_, &context_->relay_lag);
   if (done_) return;
-  const bool begun = end != HandedEnd::kNotBegun;
+  const bool started = result != ForwardResult::kNotStarted;
   // The peer may have sent each part to one server of its choice, or, if it did
   // not answer, to as many as the route allows.
-  if (begun) {
-    const size_t each =
-        end == HandedEnd::kAnswer ? 1 : static_cast<size_t>(route_->attempts);
-    for (const size_t i : shards) parts_[i].ran_on.resize(each);
+  if (started) {
+    const size_t attempts = result == ForwardResult::kAnswered
+                                ? 1
+                                : static_cast<size_t>(route_->attempts);
+    for (const size_t i : shards) parts_[i].may_have_run_on.resize(attempts);
   }
-  TakeFromPeer(shards, peer, end, reply, begun);
+  HandlePeerAnswer(shards, peer, result, reply, started);
 }
 
-void QueryRun::TakeFromPeer(const std::vector<size_t>& shards,
-                            const engine::Peer& peer, HandedEnd end,
-                            const HttpReply& reply, bool ran) {
+void QueryRun::HandlePeerAnswer(const std::vector<size_t>& shards,
+                                const engine::Peer& peer, ForwardResult result,
+                                const HttpReply& reply, bool may_have_run) {
   for (const size_t i : shards) parts_[i].relayed = false;
-  NoteSpent(reply);
-  const bool taken = end == HandedEnd::kAnswer && TakeRelayed(shards, reply);
-  if (taken) KeepRest(shards, peer, reply);
+  RecordExhausted(reply);
+  const bool is_usable =
+      result == ForwardResult::kAnswered && TakePeerResults(shards, reply);
+  if (is_usable) AddRemainder(shards, peer, reply);
   for (const size_t i : shards) {
-    if (parts_[i].in || parts_[i].relayed || done_) continue;
+    if (parts_[i].received || parts_[i].relayed || done_) continue;
     // Querying again what servers may have run is a retry.
-    if (ran) {
+    if (may_have_run) {
       RetryPart(i, true);
     } else {
       StartPart(i);
     }
   }
-  if (!done_) Check();
+  if (!done_) Advance();
 }
 
-std::vector<size_t> QueryRun::SpentPlaces() const {
-  std::vector<size_t> spent;
+std::vector<size_t> QueryRun::ExhaustedShards() const {
+  std::vector<size_t> exhausted;
   for (size_t i = 0; i < parts_.size(); ++i) {
     const auto& it = parts_[i];
-    if (it.in || it.settled || HasAttemptLeft(it)) continue;
-    spent.push_back(places_[i]);
+    if (it.received || it.excluded || HasAttemptLeft(it)) continue;
+    exhausted.push_back(shard_indices_[i]);
   }
-  return spent;
+  return exhausted;
 }
 
-void QueryRun::NoteSpent(const HttpReply& reply) {
-  const auto places =
-      SplitPlaces(FindHeader(reply.headers, kShardsSpentHeader));
-  if (!places) return;
-  for (const size_t i : *places) {
-    if (i >= parts_.size() || parts_[i].in) continue;
-    parts_[i].ran_on.resize(static_cast<size_t>(route_->attempts));
+void QueryRun::RecordExhausted(const HttpReply& reply) {
+  const auto exhausted =
+      ParseIndices(FindHeader(reply.headers, kShardsExhaustedHeader));
+  if (!exhausted) return;
+  for (const size_t i : *exhausted) {
+    if (i >= parts_.size() || parts_[i].received) continue;
+    parts_[i].may_have_run_on.resize(static_cast<size_t>(route_->attempts));
   }
 }
 
 // Takes the parts that a peer's answer names; false if the answer is not
 // usable.
-bool QueryRun::TakeRelayed(const std::vector<size_t>& shards,
-                           const HttpReply& reply) {
+bool QueryRun::TakePeerResults(const std::vector<size_t>& shards,
+                               const HttpReply& reply) {
   const auto& names = *context_->names;
-  const auto places = SplitPlaces(FindHeader(reply.headers, kShardsInHeader));
+  const auto received_shards =
+      ParseIndices(FindHeader(reply.headers, kShardsReceivedHeader));
   const auto stamps = SplitList(FindHeader(reply.headers, names.part_stamps));
   constexpr int kOk = 200;
-  if (reply.status != kOk || !places || places->size() != stamps.size()) {
+  if (reply.status != kOk || !received_shards ||
+      received_shards->size() != stamps.size()) {
     return false;
   }
-  for (const size_t i : *places) {
+  for (const size_t i : *received_shards) {
     if (std::find(shards.begin(), shards.end(), i) == shards.end()) {
       return false;
     }
   }
-  for (size_t n = 0; n < places->size(); ++n) {
-    auto& part = parts_[(*places)[n]];
-    part.in = true;
+  for (size_t n = 0; n < received_shards->size(); ++n) {
+    auto& part = parts_[(*received_shards)[n]];
+    part.received = true;
     part.reply.headers = {{names.stamp, std::string(stamps[n])}};
     part.reply.body.clear();
   }
-  merged_.push_back(reply.body);
+  merged_bodies_.push_back(reply.body);
   return true;
 }
 
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -13,11 +13,11 @@
 
 // A caller that has waited for longer than a connection setup takes is taken to
 // be retrying.
-constexpr Millis kReturningAfter{30};
+constexpr Millis kRetryThreshold{30};
 
 // A shard expected to take more than this fraction of the time to the target is
 // deferred if the minimum coverage can be reached without it.
-constexpr double kDeferShare = 0.6;
+constexpr double kDeferThreshold = 0.6;
 constexpr double kNeverDefer = 1e9;
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
@@ -26,97 +26,108 @@
 
 QueryRun::QueryRun(QueryContext* context,
                    std::shared_ptr<const engine::TrafficConfig> config,
-                   const engine::Route* route, engine::RouteLatency* pace,
-                   HttpRequest request)
+                   const engine::Route* route,
+                   engine::RouteLatency* route_latency, HttpRequest request)
     : context_(context),
       config_(std::move(config)),
       route_(route),
-      pace_(pace),
+      route_latency_(route_latency),
       request_(std::move(request)),
       request_id_(FindHeader(request_.headers, context->names->request_id)),
-      began_(context->loop->now()) {
+      started_at_(context->loop->now()) {
   const auto& names = *context_->names;
-  for (auto& it : EndToEnd(request_.headers)) {
+  for (auto& it : EndToEndHeaders(request_.headers)) {
     // These headers are set by this instance and never taken from a caller.
-    if (SameName(it.name, names.deadline)) continue;
-    if (SameName(it.name, names.expect_instance)) continue;
-    if (SameName(it.name, names.stamp)) continue;
-    forwarded_.push_back(std::move(it));
+    if (EqualsIgnoreCase(it.name, names.deadline)) continue;
+    if (EqualsIgnoreCase(it.name, names.expect_instance)) continue;
+    if (EqualsIgnoreCase(it.name, names.stamp)) continue;
+    upstream_headers_.push_back(std::move(it));
   }
 }
 
-HandedClocks QueryRun::ClocksFor(const QueryContext& context,
-                                 const engine::Route& route,
-                                 engine::RouteLatency* pace,
-                                 const HttpRequest& request) {
-  HandedClocks clocks;
-  clocks.end_in = route.timeout;
-  Millis spent{0};
+ForwardedDeadlines QueryRun::DeadlinesFor(const QueryContext& context,
+                                          const engine::Route& route,
+                                          engine::RouteLatency* route_latency,
+                                          const HttpRequest& request) {
+  ForwardedDeadlines deadlines;
+  deadlines.deadline_in = route.timeout;
+  Millis already_waited{0};
   const auto header = FindHeader(request.headers, context.names->deadline);
-  if (const auto n = WholeNumber(header); n && *n > 0) {
-    const Millis said(static_cast<double>(*n));
-    spent = engine::TimeAlreadyWaited(pace, said);
-    clocks.returning = spent > kReturningAfter;
-    clocks.end_in = Min(clocks.end_in, said - context.end_margin);
+  if (const auto n = ParseInteger(header); n && *n > 0) {
+    const Millis deadline(static_cast<double>(*n));
+    already_waited = engine::TimeAlreadyWaited(route_latency, deadline);
+    deadlines.is_retry = already_waited > kRetryThreshold;
+    deadlines.deadline_in =
+        Min(deadlines.deadline_in, deadline - context.end_margin);
   }
-  const Millis margin = request.on_the_way
-                            ? *request.on_the_way + context.own_margin
+  const Millis margin = request.network_time
+                            ? *request.network_time + context.processing_margin
                             : context.answer_margin;
-  clocks.answer_in = route.target - spent - margin;
-  return clocks;
+  deadlines.answer_in = route.target - already_waited - margin;
+  return deadlines;
 }
 
-void QueryRun::ReadClocks() {
-  const HandedClocks clocks =
-      handed_ ? *handed_ : ClocksFor(*context_, *route_, pace_, request_);
-  returning_ = clocks.returning;
-  clocks_.deadline = began_ + Min(clocks.end_in, route_->timeout);
-  Millis answer_in = clocks.answer_in;
-  if (Uses().answer_lag) answer_in = answer_in - context_->answer_lag.typical();
-  if (clocks.lags) {
+void QueryRun::SetDeadlines() {
+  const ForwardedDeadlines deadlines =
+      forwarded_deadlines_
+          ? *forwarded_deadlines_
+          : DeadlinesFor(*context_, *route_, route_latency_, request_);
+  is_retry_ = deadlines.is_retry;
+  deadlines_.deadline =
+      started_at_ + Min(deadlines.deadline_in, route_->timeout);
+  Millis answer_in = deadlines.answer_in;
+  if (mechanisms().answer_lag)
+    answer_in = answer_in - context_->answer_lag.typical();
+  if (deadlines.lags) {
     answer_in = engine::BestAnswerTime(
-        *pace_, answer_in + engine::TypicalLag(*clocks.lags), *clocks.lags);
+        *route_latency_, answer_in + engine::TypicalLag(*deadlines.lags),
+        *deadlines.lags);
   }
-  clocks_.answer_at = began_ + answer_in;
+  deadlines_.answer_at = started_at_ + answer_in;
 }
 
 void QueryRun::Start(const std::vector<ServiceId>& services, OnDone on_done) {
   on_done_ = std::move(on_done);
-  ReadClocks();
+  SetDeadlines();
   parts_.resize(services.size());
   for (size_t i = 0; i < services.size(); ++i) {
     parts_[i].service = services[i];
   }
-  const auto& group = route_->gather ? route_->gather->shards : services;
-  budget_of_ = *std::min_element(group.begin(), group.end());
+  const auto& budget_services =
+      route_->gather ? route_->gather->shards : services;
+  budget_service_ =
+      *std::min_element(budget_services.begin(), budget_services.end());
   // A partial query is counted by the instance that owns the query.
-  if (places_.empty()) context_->backends->CountRequest(budget_of_);
-  if (StartParts()) Check();
+  if (shard_indices_.empty()) context_->backends->CountRequest(budget_service_);
+  if (StartParts()) Advance();
 }
 
 // Starts the immediate parts, or answers at once if the query is refused.
 bool QueryRun::StartParts() {
-  std::vector<std::optional<engine::ShardEstimate>> outlooks;
+  std::vector<std::optional<engine::ShardEstimate>> estimates;
   for (const auto& it : parts_) {
-    outlooks.push_back(context_->backends->Outlook(
-        it.service, pace_->median, clocks_.answer_at,
+    estimates.push_back(context_->backends->EstimateShard(
+        it.service, route_latency_->median, deadlines_.answer_at,
         route_->allowed_data_centres));
   }
   const size_t needed = Progress().needed;
-  const Millis to_target = clocks_.answer_at - began_;
-  const auto admission = engine::Admit(
-      outlooks, needed, {to_target, clocks_.deadline - began_, returning_});
-  if (Uses().whole_query_refusal && !admission.admitted && places_.empty()) {
+  const Millis to_target = deadlines_.answer_at - started_at_;
+  const auto admission =
+      engine::Admit(estimates, needed,
+                    {to_target, deadlines_.deadline - started_at_, is_retry_});
+  if (mechanisms().whole_query_refusal && !admission.admitted &&
+      shard_indices_.empty()) {
     retry_after_ = admission.retry_after;
-    refused_by_ = admission.critical_shard;
+    refusal_estimate_ = admission.critical_shard;
     Fail(QueryFault::kOverloaded);
     return false;
   }
-  behind_ = admission.deprioritized;
+  deprioritized_ = admission.deprioritized;
   // A peer that forwarded parts needs all of them.
-  const bool keeps_back = Uses().kept_back_shards && places_.empty();
-  const auto plan = engine::PlanFanOut(outlooks, needed, to_target,
-                                       keeps_back ? kDeferShare : kNeverDefer);
+  const bool may_defer =
+      mechanisms().kept_back_shards && shard_indices_.empty();
+  const auto plan = engine::PlanFanOut(
+      estimates, needed, to_target, may_defer ? kDeferThreshold : kNeverDefer);
   if (!plan.feasible) {
     Fail(QueryFault::kNoServer);
     return false;
@@ -129,100 +140,105 @@
 
 void QueryRun::StartPart(size_t i) {
   parts_[i].deferred = false;
-  if (!TryPart(i, Extra::kNone)) WaitForRoom(i, false);
+  if (!TryStartPart(i, ExtraAttempt::kNone)) EnqueuePart(i, false);
 }
 
-void QueryRun::WaitForRoom(size_t i, bool extra) {
-  Waiting waiting;
-  waiting.priority = route_->priority;
-  waiting.due = clocks_.answer_at;
-  waiting.behind = behind_;
-  waiting.key_changed = [self = shared_from_this(), i](const WaitKey& key) {
-    self->parts_[i].waiting = key;
+void QueryRun::EnqueuePart(size_t i, bool extra) {
+  QueuedPart queued_part;
+  queued_part.priority = route_->priority;
+  queued_part.due = deadlines_.answer_at;
+  queued_part.deprioritized = deprioritized_;
+  queued_part.on_key_changed = [self = shared_from_this(),
+                                i](const QueueKey& key) {
+    self->parts_[i].queue_key = key;
   };
-  waiting.start = [self = shared_from_this(), i, extra] {
+  queued_part.try_start = [self = shared_from_this(), i, extra] {
     auto& it = self->parts_[i];
-    if (self->done_ || it.in || it.failed) return true;
-    if (!self->TryPart(i, extra ? Extra::kNeeded : Extra::kNone)) {
+    if (self->done_ || it.received || it.failed) return true;
+    if (!self->TryStartPart(
+            i, extra ? ExtraAttempt::kUrgent : ExtraAttempt::kNone)) {
       const auto& backends = *self->context_->backends;
-      if (backends.HasServerInReach(it.service,
-                                    self->route_->allowed_data_centres)) {
+      if (backends.HasAvailableServer(it.service,
+                                      self->route_->allowed_data_centres)) {
         return false;
       }
       // The last available server was lost while the part waited.
-      it.waiting.reset();
+      it.queue_key.reset();
       it.failed = true;
-      self->Check();
+      self->Advance();
       return true;
     }
-    it.waiting.reset();
+    it.queue_key.reset();
     self->ArmTimer();
     return true;
   };
-  parts_[i].waiting =
-      context_->backends->Enqueue(parts_[i].service, std::move(waiting));
+  parts_[i].queue_key =
+      context_->backends->Enqueue(parts_[i].service, std::move(queued_part));
 }
 
 // Starts one attempt of the part. Returns false if no server takes it or, for
 // an extra attempt, the budget is used up.
-bool QueryRun::TryPart(size_t i, Extra extra) {
+bool QueryRun::TryStartPart(size_t i, ExtraAttempt extra) {
   auto& part = parts_[i];
   auto& backends = *context_->backends;
   const Millis now = context_->loop->now();
-  const bool reserves = Uses().hedge_reserve && extra == Extra::kOptional;
+  const bool reserves =
+      mechanisms().hedge_reserve && extra == ExtraAttempt::kOptional;
   const double reserve = reserves ? engine::kUrgentReserve : 0;
-  const bool is_extra = extra != Extra::kNone;
-  if (is_extra && !backends.HasExtra(budget_of_, reserve)) return false;
-  AttemptOrder order = OrderFor(i);
-  order.only_unsuspected = !part.open.empty();
-  const auto started = backends.TryStart(std::move(order));
+  const bool is_extra = extra != ExtraAttempt::kNone;
+  if (is_extra && !backends.HasExtraAttempt(budget_service_, reserve))
+    return false;
+  AttemptSpec spec = AttemptSpecFor(i);
+  spec.skip_suspected = !part.open.empty();
+  const auto started = backends.TryStart(std::move(spec));
   if (!started) return false;
   if (is_extra) {
-    backends.TakeExtra(budget_of_);
-    ++extras_;
+    backends.TakeExtraAttempt(budget_service_);
+    ++extra_attempts_;
   }
   part.open.push_back({started->id, started->server, now});
   return true;
 }
 
-AttemptOrder QueryRun::OrderFor(size_t i) {
-  AttemptOrder order;
-  order.service = parts_[i].service;
-  order.budget_of = budget_of_;
-  order.usual = pace_->median;
-  order.overdue_after = pace_->hedge_after;
-  order.excluded = parts_[i].ran_on;
-  for (const auto& it : parts_[i].open) order.excluded.push_back(it.server);
-  order.homes = &route_->allowed_data_centres;
-  order.to_head = request_.method == "HEAD";
-  order.once = route_->idempotency == Idempotency::kNotIdempotent;
+AttemptSpec QueryRun::AttemptSpecFor(size_t i) {
+  AttemptSpec spec;
+  spec.service = parts_[i].service;
+  spec.budget_service = budget_service_;
+  spec.median_latency = route_latency_->median;
+  spec.overdue_after = route_latency_->hedge_after;
+  spec.excluded = parts_[i].may_have_run_on;
+  for (const auto& it : parts_[i].open) spec.excluded.push_back(it.server);
+  spec.allowed_data_centres = &route_->allowed_data_centres;
+  spec.is_head = request_.method == "HEAD";
+  spec.not_idempotent = route_->idempotency == Idempotency::kNotIdempotent;
   const auto self = shared_from_this();
-  order.text_for = [self, i](const BackendServerId& server) {
-    self->parts_[i].ran_on.push_back(server);
-    return self->TextFor(server);
+  spec.serialize_for = [self, i](const BackendServerId& server) {
+    self->parts_[i].may_have_run_on.push_back(server);
+    return self->SerializeFor(server);
   };
-  order.is_ours = [self](const HttpReply& reply) {
-    return self->IsOurs(reply);
+  spec.accepts_reply = [self](const HttpReply& reply) {
+    return self->MatchesRequest(reply);
   };
-  order.on_end = [self, i](AttemptResult result) {
+  spec.on_end = [self, i](AttemptResult result) {
     self->OnAttempt(i, std::move(result));
   };
-  return order;
+  return spec;
 }
 
-HttpRequest QueryRun::Forwarded() const {
+HttpRequest QueryRun::UpstreamRequest() const {
   HttpRequest sent;
   sent.method = request_.method;
   sent.target = request_.target;
-  sent.headers = forwarded_;
+  sent.headers = upstream_headers_;
   sent.body = request_.body;
   return sent;
 }
 
-std::string QueryRun::TextFor(const BackendServerId& server) const {
+std::string QueryRun::SerializeFor(const BackendServerId& server) const {
   const auto& names = *context_->names;
-  HttpRequest sent = Forwarded();
-  const Millis left = Max(clocks_.deadline - context_->loop->now(), Millis(1));
+  HttpRequest sent = UpstreamRequest();
+  const Millis left =
+      Max(deadlines_.deadline - context_->loop->now(), Millis(1));
   sent.headers.push_back(
       {names.deadline, std::to_string(static_cast<int64_t>(left.count))});
   sent.headers.push_back({names.expect_instance, server.text});
@@ -231,12 +247,12 @@
 
 // A reply with another request's id is a late or duplicate reply to that
 // request.
-bool QueryRun::IsOurs(const HttpReply& reply) const {
+bool QueryRun::MatchesRequest(const HttpReply& reply) const {
   const auto id = FindHeader(reply.headers, context_->names->request_id);
   return id.empty() || id == request_id_;
 }
 
-bool QueryRun::IsGood(const HttpReply& reply) const {
+bool QueryRun::IsValidReply(const HttpReply& reply) const {
   const auto& names = *context_->names;
   return IsSuccess(reply.status) &&
          !FindHeader(reply.headers, names.stamp).empty() &&
@@ -244,55 +260,57 @@
          FindHeader(reply.headers, "Content-Encoding").empty();
 }
 
-void QueryRun::NoteWarmup(const AttemptResult& result) {
-  const auto said =
-      WholeNumber(FindHeader(result.reply.headers, context_->names->warmup));
-  if (!said || *said < 0) return;
-  context_->backends->NoteWarmup(result, Millis(static_cast<double>(*said)));
+void QueryRun::RecordWarmup(const AttemptResult& result) {
+  const auto remaining =
+      ParseInteger(FindHeader(result.reply.headers, context_->names->warmup));
+  if (!remaining || *remaining < 0) return;
+  context_->backends->RecordWarmup(result,
+                                   Millis(static_cast<double>(*remaining)));
 }
 
 void QueryRun::OnAttempt(size_t i, AttemptResult result) {
   auto& part = parts_[i];
   std::erase_if(part.open, [&](auto& it) { return it.id == result.id; });
   auto& backends = *context_->backends;
-  const bool whole = result.end == AttemptEnd::kReply;
-  if (whole) NoteWarmup(result);
-  if (whole && IsGood(result.reply)) {
-    backends.NoteReply(result, pace_->median);
-    engine::AddLatency(pace_, result.latency, route_->target);
-    if (done_ || part.in) return;
-    part.in = true;
+  const bool has_reply = result.end == AttemptEnd::kReply;
+  if (has_reply) RecordWarmup(result);
+  if (has_reply && IsValidReply(result.reply)) {
+    backends.RecordReply(result, route_latency_->median);
+    engine::AddLatency(route_latency_, result.latency, route_->target);
+    if (done_ || part.received) return;
+    part.received = true;
     part.reply = std::move(result.reply);
     for (const auto& it : std::exchange(part.open, {})) {
       backends.Abandon(it.id, false);
     }
-    Check();
+    Advance();
     return;
   }
-  backends.NoteFailure(result);
-  if (!done_ && !part.in) OnFailed(i, result);
-  if (!done_) Check();
+  backends.RecordFailure(result);
+  if (!done_ && !part.received) OnFailedAttempt(i, result);
+  if (!done_) Advance();
 }
 
-void QueryRun::OnFailed(size_t i, const AttemptResult& result) {
+void QueryRun::OnFailedAttempt(size_t i, const AttemptResult& result) {
   auto& part = parts_[i];
   const auto& names = *context_->names;
-  bool ran = result.end == AttemptEnd::kBroken;
+  bool may_have_run = result.end == AttemptEnd::kBroken;
   if (result.end == AttemptEnd::kReply) {
     constexpr int kMisdirected = 421;
-    const bool foreign = result.reply.status == kMisdirected;
-    ran = !foreign && FindHeader(result.reply.headers, names.not_run).empty();
-    if (foreign) context_->backends->NoteForeign(result);
-    if (ran) part.failure = result.reply;
+    const bool misdirected = result.reply.status == kMisdirected;
+    may_have_run =
+        !misdirected && FindHeader(result.reply.headers, names.not_run).empty();
+    if (misdirected) context_->backends->RecordMisdirected(result);
+    if (may_have_run) part.failure = result.reply;
   }
-  if (!ran) {
-    std::erase(part.ran_on, result.server);
+  if (!may_have_run) {
+    std::erase(part.may_have_run_on, result.server);
     if (result.end == AttemptEnd::kReply) ++part.refusals;
   }
-  RetryPart(i, ran);
+  RetryPart(i, may_have_run);
 }
 
-size_t QueryRun::FailedParts() const {
+size_t QueryRun::FailedPartCount() const {
   return static_cast<size_t>(std::count_if(parts_.begin(), parts_.end(),
                                            [](auto& it) { return it.failed; }));
 }
@@ -300,27 +318,28 @@
 engine::GatherProgress QueryRun::Progress() const {
   engine::GatherProgress progress;
   for (const auto& it : parts_) {
-    if (it.settled) continue;
+    if (it.excluded) continue;
     ++progress.shards;
-    progress.received += it.in ? 1 : 0;
-    progress.failed += (it.failed || it.deferred) && !it.in ? 1 : 0;
+    progress.received += it.received ? 1 : 0;
+    progress.failed += (it.failed || it.deferred) && !it.received ? 1 : 0;
   }
-  if (places_.empty()) {
-    progress.needed = NeededOfAll();
+  if (shard_indices_.empty()) {
+    progress.needed = NeededPartCount();
   } else {
     // What the peer needs, or as many parts as can still arrive.
     progress.needed = std::clamp<size_t>(
-        wanted_, 1, std::max<size_t>(progress.shards - progress.failed, 1));
+        needed_by_peer_, 1,
+        std::max<size_t>(progress.shards - progress.failed, 1));
   }
   return progress;
 }
 
-void QueryRun::Check() {
-  if (done_ || resting_) return;
-  StartKeptBack();
-  AskForRests();
+void QueryRun::Advance() {
+  if (done_ || awaiting_resume_) return;
+  StartDeferredParts();
+  RequestRemainders();
   const auto progress = Progress();
-  switch (engine::NextStep(progress, clocks_, context_->loop->now())) {
+  switch (engine::NextStep(progress, deadlines_, context_->loop->now())) {
     case GatherStep::kAnswer:
       Answer();
       return;
@@ -328,7 +347,7 @@
       Fail(MayHaveRun() ? QueryFault::kServersFailed : QueryFault::kNoServer);
       return;
     case GatherStep::kTimedOut:
-      if (wanted_ > 0 && progress.received > 0) {
+      if (needed_by_peer_ > 0 && progress.received > 0) {
         Answer();
         return;
       }
@@ -340,22 +359,22 @@
 }
 
 void QueryRun::ArmTimer() {
-  if (done_ || resting_) return;
+  if (done_ || awaiting_resume_) return;
   context_->loop->Cancel(timer_);
   const Millis now = context_->loop->now();
-  Millis next = Min(clocks_.deadline, NextHedge());
-  if (clocks_.answer_at > now) next = Min(next, clocks_.answer_at);
-  const bool by_answer_clock = next == clocks_.answer_at;
+  Millis next = Min(deadlines_.deadline, NextHedgeTime());
+  if (deadlines_.answer_at > now) next = Min(next, deadlines_.answer_at);
+  const bool by_answer_clock = next == deadlines_.answer_at;
   timer_ =
-      context_->loop->At(next, [self = shared_from_this(), by_answer_clock] {
+      context_->loop->RunAt(next, [self = shared_from_this(), by_answer_clock] {
         self->timer_ = 0;
         if (self->done_) return;
         // Only answers that waited for this timer measure the timer's lag; an
         // answer completed after it is late because of its parts.
-        self->by_clock_ = by_answer_clock;
+        self->at_answer_timer_ = by_answer_clock;
         self->HedgeParts();
-        self->Check();
-        self->by_clock_ = false;
+        self->Advance();
+        self->at_answer_timer_ = false;
       });
 }
 
--- a/packages/edge/src/request_log.cc
+++ b/packages/edge/src/request_log.cc
@@ -6,44 +6,51 @@
 
 namespace hibiscuspick::edge {
 
-bool RequestLog::Take(LineBudget* budget, std::string_view what, Millis now) {
-  const uint64_t before = budget->left_out;
+bool RequestLog::MayLog(LineBudget* budget, std::string_view kind, Millis now) {
+  const uint64_t suppressed = budget->left_out;
   if (!TakeLine(budget, now)) return false;
-  if (before > 0) {
+  if (suppressed > 0) {
     Log(Part::kRoute)
-        .warn("{} log lines of {} requests suppressed", before, what);
+        .warn("{} log lines of {} requests suppressed", suppressed, kind);
     budget->left_out = 0;
   }
   return true;
 }
 
-void RequestLog::Refused(std::string_view request_id, int status,
-                         std::string_view why, Millis now) {
-  if (!Take(&refused_, "refused", now)) return;
-  Log(Part::kFront).info("request {} refused: {} {}", request_id, status, why);
+void RequestLog::LogRefusal(std::string_view request_id, int status,
+                            std::string_view reason, Millis now) {
+  if (!MayLog(&refused_, "refused", now)) return;
+  Log(Part::kFront)
+      .info("request {} refused: {} {}", request_id, status, reason);
 }
 
-void RequestLog::Ended(std::string_view request_id, const RouteId& route,
-                       uint64_t config_version, const QueryOutcome& outcome,
-                       Millis now) {
-  const bool good = outcome.fault == QueryFault::kNone;
+void RequestLog::LogOutcome(std::string_view request_id, const RouteId& route,
+                            uint64_t config_version,
+                            const QueryOutcome& outcome, Millis now) {
+  const bool succeeded = outcome.fault == QueryFault::kNone;
   const auto level =
-      good && !outcome.late ? spdlog::level::debug : spdlog::level::info;
+      succeeded && !outcome.late ? spdlog::level::debug : spdlog::level::info;
   if (!Log(Part::kRoute).should_log(level)) return;
-  const bool ran = good || outcome.ran;
-  auto* budget = good ? &good_ : ran ? &failed_ : &refused_;
-  if (!Take(budget, good ? "good" : ran ? "failed" : "refused", now)) return;
+  const bool may_have_run = succeeded || outcome.may_have_run;
+  auto* budget = succeeded ? &successful_ : may_have_run ? &failed_ : &refused_;
+  if (!MayLog(budget,
+              succeeded      ? "good"
+              : may_have_run ? "failed"
+                             : "refused",
+              now))
+    return;
   Log(Part::kRoute)
       .log(level,
            "request {} route {} config {}: {} {} after {:.1f} ms, {} of {} "
            "shards received, {} deferred, {} extra attempts, {}missing {}, ran "
            "{}",
            request_id, route.text, config_version, outcome.reply.status,
-           FaultName(outcome.fault), outcome.took.count, outcome.shards_in,
-           outcome.shards, outcome.kept_back, outcome.extras,
-           outcome.behind ? "deprioritized, " : "",
-           outcome.lacking.empty() ? "none" : outcome.lacking,
-           outcome.ran ? "maybe" : "no");
+           FaultName(outcome.fault), outcome.latency.count,
+           outcome.shards_received, outcome.shards, outcome.shards_deferred,
+           outcome.extra_attempts,
+           outcome.deprioritized ? "deprioritized, " : "",
+           outcome.missing_detail.empty() ? "none" : outcome.missing_detail,
+           outcome.may_have_run ? "maybe" : "no");
 }
 
 }  // namespace hibiscuspick::edge
--- /dev/null
+++ b/packages/edge/src/traffic_forwarding.cc
@@ -0,0 +1,204 @@
+// Queries that this instance forwards to peers, and queries that peers forward
+// to it.
+#include <spdlog/fmt/fmt.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "hibiscuspick/edge/traffic_server.h"
+
+namespace hibiscuspick::edge {
+namespace {
+
+// Grace after the query's deadline before a peer's answer is given up.
+constexpr Millis kForwardingGrace{100};
+
+// Refuses a peer's query because configuration version, shards or token do not
+// match.
+void AnswerMismatch(HttpSession* session) {
+  HttpReply reply;
+  reply.status = kVersionMismatchStatus;
+  session->Reply(reply);
+}
+
+}  // namespace
+
+void TrafficServer::OnForwardedQuery(
+    const std::shared_ptr<HttpSession>& session, HttpRequest request) {
+  const auto forwarded = ExtractForwardingHeaders(&request.headers);
+  if (forwarded && !forwarded->remainder.token.empty()) {
+    OnRemainderRequested(session, *forwarded);
+    return;
+  }
+  const engine::Route* route = nullptr;
+  if (forwarded && config_ && has_servers_ &&
+      forwarded->config_version == config_->version) {
+    route = RouteOf(request);
+  }
+  const bool matches =
+      route != nullptr &&
+      (forwarded->shard_indices.empty() ||
+       (route->gather &&
+        std::all_of(
+            forwarded->shard_indices.begin(), forwarded->shard_indices.end(),
+            [&](size_t i) { return i < route->gather->shards.size(); })));
+  if (!matches) {
+    AnswerMismatch(session.get());
+    return;
+  }
+  Serve(session, std::move(request), *route, forwarded);
+}
+
+void TrafficServer::AnswerPeer(const std::shared_ptr<HttpSession>& session,
+                               const QueryOutcome& outcome,
+                               const std::shared_ptr<QueryRun>& query,
+                               const std::string& request_id) {
+  HttpReply answer = outcome.reply;
+  const auto add = [&](std::string_view name, std::string value) {
+    answer.headers.push_back({std::string(name), std::move(value)});
+  };
+  if (outcome.fault == QueryFault::kNoServer && !outcome.may_have_run) {
+    answer.status = kServersUnreachableStatus;
+    if (IsUnableToServe()) add(kCutOffHeader, "1");
+  }
+  add(kProcessingTimeHeader, fmt::format("{:.2f}", outcome.latency.count));
+  add(kUtilisationHeader, fmt::format("{:.2f}", peers_.own_utilisation()));
+  if (query && !outcome.open_shards.empty()) {
+    // The sequence number makes the token unique, since callers may reuse an
+    // id.
+    const std::string token =
+        fmt::format("{}-{}", request_id, ++last_token_number_);
+    add(kShardsOpenHeader, FormatIndices(outcome.open_shards));
+    add(kRemainderHeader, token);
+    remainders_[token] = query;
+    loop_->RunAt(loop_->now() + kRemainderTtl, [this, token] {
+      const auto expired = remainders_.extract(token);
+      if (expired.empty()) return;
+      expired.mapped()->DropRemainder();
+      running_.erase(expired.mapped());
+    });
+  }
+  session->Reply(answer);
+}
+
+// Handles a peer's request for parts missing from an earlier answer.
+void TrafficServer::OnRemainderRequested(
+    const std::shared_ptr<HttpSession>& session,
+    const ForwardedQuery& forwarded) {
+  const auto found = remainders_.extract(forwarded.remainder.token);
+  if (found.empty()) {
+    AnswerMismatch(session.get());
+    return;
+  }
+  const auto query = found.mapped();
+  CancelOnDisconnect(session, query);
+  const std::weak_ptr<QueryRun> weak = query;
+  query->Resume(
+      forwarded.deadlines, forwarded.shard_indices, forwarded.remainder.needed,
+      [this, session, weak,
+       token = forwarded.remainder.token](const QueryOutcome& outcome) {
+        const auto ended = weak.lock();
+        AnswerPeer(session, outcome, ended, token);
+        if (ended && outcome.open_shards.empty()) running_.erase(ended);
+      });
+}
+
+const std::vector<DataCentreId>& TrafficServer::DataCentresOf(
+    const engine::Route& route) {
+  const auto [it, is_new] = route_data_centres_.try_emplace(route.id);
+  auto& held = it->second;
+  if (is_new || held.generation != backends_.generation()) {
+    held = {backends_.generation(),
+            backends_.DataCentresOf(route.gather->shards,
+                                    route.allowed_data_centres)};
+  }
+  return held.data_centres;
+}
+
+// Forwards a fan-out to a better-placed peer; false if this instance should run
+// it.
+bool TrafficServer::ForwardToPeer(const std::shared_ptr<HttpSession>& session,
+                                  const HttpRequest& request,
+                                  const engine::Route& route) {
+  if (!route.gather || peers_.senders().empty()) return false;
+  const auto peer =
+      peers_.ChoosePeer(DataCentresOf(route), route.allowed_data_centres);
+  if (!peer) return false;
+  ForwardedQuery query;
+  query.config_version = config_->version;
+  query.deadlines =
+      QueryRun::DeadlinesFor(context_, route, RouteLatencyOf(route), request);
+  const bool is_remote =
+      peer->data_centre != settings_.backends.choice.own_data_centre;
+  // Round trip to the peer and processing on both ends, as measured.
+  auto* lag = is_remote ? &remote_lag_ : &local_lag_;
+  query.deadlines.answer_in = query.deadlines.answer_in - lag->typical();
+  query.deadlines.lags = lag->bounds;
+  HttpRequest sent;
+  sent.method = request.method;
+  sent.target = request.target;
+  sent.headers = EndToEndHeaders(request.headers);
+  sent.body = request.body;
+  AddForwardingHeaders(query, &sent.headers);
+  // Stored before the send, which may end immediately.
+  forwarded_requests_[session.get()] = {session, request, {}};
+  session->set_on_disconnect([this, disconnected = session.get()] {
+    auto node = forwarded_requests_.extract(disconnected);
+    if (!node.empty() && node.mapped().cancel) node.mapped().cancel();
+  });
+  auto cancel = peers_.Send(
+      *peer, ToText(sent), request.method == "HEAD",
+      {query.deadlines.answer_in,
+       query.deadlines.deadline_in + kForwardingGrace},
+      [this, key = session.get(), lag, is_remote, sent_at = loop_->now()](
+          ForwardResult result, const HttpReply& reply) {
+        RecordHopLatency(reply, sent_at, lag);
+        if (!is_remote && !FindHeader(reply.headers, kCutOffHeader).empty()) {
+          backends_.RecordCutOffReport();
+        }
+        auto entry = forwarded_requests_.extract(key);
+        if (entry.empty()) return;
+        OnPeerAnswer(entry.mapped().session, std::move(entry.mapped().request),
+                     result, reply);
+      });
+  const auto held = forwarded_requests_.find(session.get());
+  if (held != forwarded_requests_.end())
+    held->second.cancel = std::move(cancel);
+  metrics_.CountForwarded();
+  return true;
+}
+
+void TrafficServer::OnPeerAnswer(const std::shared_ptr<HttpSession>& session,
+                                 HttpRequest request, ForwardResult result,
+                                 const HttpReply& reply) {
+  if (result == ForwardResult::kAnswered) {
+    HttpReply answer = reply;
+    answer.headers = EndToEndHeaders(reply.headers);
+    std::erase_if(answer.headers, [](const Header& it) {
+      return EqualsIgnoreCase(it.name, kProcessingTimeHeader) ||
+             EqualsIgnoreCase(it.name, kUtilisationHeader);
+    });
+    session->Reply(answer);
+    return;
+  }
+  if (result == ForwardResult::kBroken) {
+    Refuse(session.get(), request, 502, "peer_lost");
+    return;
+  }
+  const auto* route = RouteOf(request);
+  ServeLocally(session, std::move(request), route);
+}
+
+// Answers all running queries and those forwarded to peers. A stalled peer
+// would hold them beyond the end of this process, and their callers would get
+// no answer.
+void TrafficServer::AnswerRemaining() {
+  const auto running = running_;
+  for (const auto& it : running) it->AnswerNow();
+  for (auto& [session, it] : std::exchange(forwarded_requests_, {})) {
+    if (it.cancel) it.cancel();
+    Refuse(it.session.get(), it.request, 502, "peer_lost");
+  }
+}
+
+}  // namespace hibiscuspick::edge
