--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -16,19 +16,19 @@
   return policy;
 }
 
-constexpr Millis kStopCheck{50};
+constexpr Millis kStopCheckInterval{50};
 
 // Interval at which the loop's lag is measured; a wake-up costs some
 // microseconds.
-constexpr Millis kDelayInterval{500};
+constexpr Millis kLoopLagInterval{500};
 
 // Retry-After in seconds for requests refused before anything ran; the load
 // balancer can send the retry to another instance.
-constexpr std::string_view kSoon = "0.05";
+constexpr std::string_view kShortRetryAfter = "0.05";
 
 // How long a peer's report of a cut is used; the peer repeats it in each state
 // update, at the latest after kPeerPollWait.
-constexpr Millis kToldUseless{2500};
+constexpr Millis kUnableReportTtl{2500};
 
 }  // namespace
 
@@ -40,17 +40,17 @@
       backends_(loop, WithNames(settings_.backends, settings_.names), &prober_),
       callers_(loop, CallersPolicy()),
       readiness_(loop, ReadinessPolicy()),
-      queries_(loop, QueriesPolicy()),
+      peer_queries_(loop, QueriesPolicy()),
       peers_(loop, &prober_),
-      place_{settings_.instances, 0},
-      early_(loop, settings_.names.deadline,
-             [this](const auto& session, HttpRequest&& request) {
-               OnRequest(session, std::move(request));
-             }) {
+      own_position_{settings_.instances, 0},
+      early_requests_(loop, settings_.names.deadline,
+                      [this](const auto& session, HttpRequest&& request) {
+                        OnRequest(session, std::move(request));
+                      }) {
   prober_.set_servers(
-      [this](const auto& where) { return backends_.AddressesIn(where); });
-  prober_.set_on_isolated([this](bool alone) {
-    if (on_cut_off_) on_cut_off_(alone && IsUseless());
+      [this](const auto& where) { return backends_.ServerAddressesIn(where); });
+  prober_.set_on_isolated([this](bool isolated) {
+    if (on_cut_off_) on_cut_off_(isolated && IsUnableToServe());
   });
   context_.loop = loop;
   context_.backends = &backends_;
@@ -68,7 +68,7 @@
   policy.on_request = [this](const auto& session, HttpRequest&& request) {
     OnRequest(session, std::move(request));
   };
-  policy.closing = [this] { return stopping_ || useless_; };
+  policy.closing = [this] { return stopping_ || unable_to_serve_; };
   return policy;
 }
 
@@ -82,8 +82,9 @@
       reply.headers.push_back({"Content-Type", "text/plain; version=0.0.4"});
       reply.body = metrics_.Text();
     } else {
-      const bool asks = request.target.starts_with(settings_.readiness_path);
-      reply.status = !asks ? 404 : IsReady() ? 200 : 503;
+      const bool is_readiness =
+          request.target.starts_with(settings_.readiness_path);
+      reply.status = !is_readiness ? 404 : IsReady() ? 200 : 503;
     }
     session->Reply(reply);
   };
@@ -96,45 +97,46 @@
   policy.limits = [] {
     engine::CallerLimits limits;
     // Peers have checked the caller's headers and add a few of their own.
-    constexpr size_t kMore = 4096;
-    limits.header_bytes += kMore;
+    constexpr size_t kPeerHeaderBytes = 4096;
+    limits.header_bytes += kPeerHeaderBytes;
     limits.idle_timeout = Millis(60000);
     return limits;
   };
   policy.on_request = [this](const auto& session, HttpRequest&& request) {
-    OnHanded(session, std::move(request));
+    OnForwardedQuery(session, std::move(request));
   };
   policy.closing = [this] { return stopping_; };
   return policy;
 }
 
 bool TrafficServer::IsReady() {
-  const bool useless = IsUseless();
-  if (useless != useless_) {
+  const bool unable = IsUnableToServe();
+  if (unable != unable_to_serve_) {
     Log(Part::kFront)
-        .warn(useless
+        .warn(unable
                   ? "cut off from the other data centres: reporting not ready"
                   : "no longer cut off from the other data centres: reporting "
                     "ready");
   }
-  useless_ = useless;
-  return config_ && has_servers_ && !stopping_ && !useless_;
+  unable_to_serve_ = unable;
+  return config_ && has_servers_ && !stopping_ && !unable_to_serve_;
 }
 
-bool TrafficServer::IsUseless() {
+bool TrafficServer::IsUnableToServe() {
   if (!config_ || !backends_.IsCutOff()) return false;
-  if (backends_.IsToldCutOff()) return true;
-  if (told_useless_ && loop_->now() - *told_useless_ < kToldUseless &&
-      prober_.IsAlone()) {
+  if (backends_.IsReportedCutOff()) return true;
+  if (unable_reported_at_ &&
+      loop_->now() - *unable_reported_at_ < kUnableReportTtl &&
+      prober_.IsIsolated()) {
     return true;
   }
   for (const auto& route : config_->routes) {
-    if (!route.gather || !paces_.contains(route.id)) continue;
+    if (!route.gather || !route_latencies_.contains(route.id)) continue;
     const auto& shards = route.gather->shards;
     size_t reachable = 0;
     for (const auto& it : shards) {
       reachable +=
-          backends_.HasServerInReach(it, route.allowed_data_centres) ? 1 : 0;
+          backends_.HasAvailableServer(it, route.allowed_data_centres) ? 1 : 0;
     }
     if (reachable <
         engine::PartsNeeded(route.gather->min_coverage, shards.size())) {
@@ -145,24 +147,25 @@
 }
 
 Result<Done> TrafficServer::Listen() {
-  if (settings_.backends.mechanisms.early_requests) early_.Begin();
-  MeasureDelay();
+  if (settings_.backends.mechanisms.early_requests)
+    early_requests_.StartHolding();
+  MeasureLoopLag();
   AddGauges();
   auto listened = callers_.Listen(settings_.callers);
   if (!IsOk(listened)) return listened;
-  if (settings_.queries.port != 0) {
-    listened = queries_.Listen(settings_.queries);
+  if (settings_.peer_queries.port != 0) {
+    listened = peer_queries_.Listen(settings_.peer_queries);
     if (!IsOk(listened)) return listened;
   }
   return readiness_.Listen(settings_.readiness);
 }
 
-void TrafficServer::MeasureDelay() {
-  const Millis due = SteadyNow() + kDelayInterval;
-  loop_->At(due, [this, due] {
-    metrics_.ObserveDelay(SteadyNow() - due);
-    peers_.SetOwnBusy(loop_->TakeBusyShare());
-    MeasureDelay();
+void TrafficServer::MeasureLoopLag() {
+  const Millis due = SteadyNow() + kLoopLagInterval;
+  loop_->RunAt(due, [this, due] {
+    metrics_.ObserveLoopLag(SteadyNow() - due);
+    peers_.set_own_utilisation(loop_->TakeUtilisation());
+    MeasureLoopLag();
   });
 }
 
@@ -196,9 +199,9 @@
     return;
   }
   config_ = std::move(config);
-  places_.clear();
-  ShareOut();
-  if (has_servers_) early_.Release();
+  route_data_centres_.clear();
+  DivideLimits();
+  if (has_servers_) early_requests_.Release();
   Log(Part::kConfig)
       .info("configuration {} in force: {} routes, {} services",
             config_->version, config_->routes.size(), config_->services.size());
@@ -207,20 +210,20 @@
 void TrafficServer::SetPeers(const engine::Peer& own,
                              const std::vector<engine::Peer>& senders,
                              const std::vector<engine::Peer>& relays,
-                             const Place& own_place) {
+                             const InstancePosition& own_position) {
   peers_.SetPeers(own, senders, relays);
-  place_ = own_place;
-  place_.instances = std::max<size_t>(place_.instances, 1);
-  if (config_) ShareOut();
+  own_position_ = own_position;
+  own_position_.instances = std::max<size_t>(own_position_.instances, 1);
+  if (config_) DivideLimits();
 }
 
-void TrafficServer::SetProbed(const std::vector<engine::Peer>& peers) {
+void TrafficServer::SetProbeTargets(const std::vector<engine::Peer>& peers) {
   prober_.SetPeers(peers);
 }
 
-void TrafficServer::LookIfCutOff() {
+void TrafficServer::CheckCutOff() {
   if (!settings_.backends.mechanisms.told_cut_off) return;
-  told_useless_ = loop_->now();
+  unable_reported_at_ = loop_->now();
   // As if a request to each data centre had been unanswered for this long.
   prober_.SuspectAll(loop_->now() - engine::kSilenceThreshold);
 }
@@ -228,13 +231,14 @@
 // Connections and budget slack are divided among the instances that send: all
 // instances, or for shards the fan-out senders. The others keep a small share
 // for times in which no sender is available.
-void TrafficServer::ShareOut() {
-  const engine::SenderCounts plan{
-      place_.instances, peers_.senders().size(),
+void TrafficServer::DivideLimits() {
+  const engine::SenderCounts sender_counts{
+      own_position_.instances, peers_.senders().size(),
       engine::PrimarySenders(peers_.senders()).size()};
-  const engine::SenderCounts all_alike{place_.instances, 0, 0};
+  const engine::SenderCounts equal_counts{own_position_.instances, 0, 0};
   engine::SenderRank rank = peers_.Rank();
-  if (rank.role == engine::SenderRole::kNotSender) rank.rank = place_.rank;
+  if (rank.role == engine::SenderRole::kNotSender)
+    rank.rank = own_position_.rank;
   std::set<ServiceId> shards;
   for (const auto& route : config_->routes) {
     if (!route.gather) continue;
@@ -242,23 +246,24 @@
   }
   for (const auto& [id, service] : config_->services) {
     const bool is_shard = shards.contains(id);
-    const auto& of = is_shard ? plan : all_alike;
-    const auto own =
-        is_shard
-            ? rank
-            : engine::SenderRank{engine::SenderRole::kNotSender, place_.rank};
-    const auto share = engine::ComputeShares(of, own.role);
-    ServiceShare mine;
-    mine.connections =
+    const auto& counts = is_shard ? sender_counts : equal_counts;
+    const auto own_rank =
+        is_shard ? rank
+                 : engine::SenderRank{engine::SenderRole::kNotSender,
+                                      own_position_.rank};
+    const auto share = engine::ComputeShares(counts, own_rank.role);
+    ServiceShare own_share;
+    own_share.connections =
         static_cast<int>(service.max_connections * share.connections);
-    mine.slack = settings_.extra_slack * share.slack;
+    own_share.slack = settings_.extra_slack * share.slack;
     if (service.cold_per_second > 0) {
-      auto limits = settings_.cold;
+      auto limits = settings_.cold_limits;
       limits.per_second = service.cold_per_second;
-      mine.when_cold = engine::ColdAllowance(limits, of, own);
-      mine.warmup = service.warmup;
+      own_share.cold_allowance =
+          engine::ColdAllowance(limits, counts, own_rank);
+      own_share.warmup = service.warmup;
     }
-    backends_.SetShare(id, mine);
+    backends_.SetShare(id, own_share);
   }
 }
 
@@ -266,20 +271,21 @@
     const std::vector<engine::ServerEntry>& entries) {
   backends_.SetServers(entries);
   has_servers_ = true;
-  if (config_) early_.Release();
+  if (config_) early_requests_.Release();
 }
 
-void TrafficServer::SetEvacuated(const std::set<DataCentreId>& places) {
-  backends_.SetEvacuated(places);
+void TrafficServer::SetEvacuated(const std::set<DataCentreId>& data_centres) {
+  backends_.SetEvacuated(data_centres);
 }
 
-engine::RouteLatency* TrafficServer::PaceOf(const engine::Route& route) {
-  auto& pace = paces_[route.id];
-  if (!pace) {
-    pace = std::make_unique<engine::RouteLatency>(
+engine::RouteLatency* TrafficServer::RouteLatencyOf(
+    const engine::Route& route) {
+  auto& route_latency = route_latencies_[route.id];
+  if (!route_latency) {
+    route_latency = std::make_unique<engine::RouteLatency>(
         engine::InitialRouteLatency(route.target));
   }
-  return pace.get();
+  return route_latency.get();
 }
 
 std::vector<ServiceId> TrafficServer::ServicesFor(const engine::Route& route) {
@@ -288,34 +294,35 @@
 }
 
 void TrafficServer::Refuse(HttpSession* session, const HttpRequest& request,
-                           int status, std::string_view why) {
+                           int status, std::string_view reason) {
   const auto id = FindHeader(request.headers, settings_.names.request_id);
-  request_log_.Refused(id, status, why, loop_->now());
+  request_log_.LogRefusal(id, status, reason, loop_->now());
   metrics_.CountRefused();
   HttpReply reply;
   reply.status = status;
   reply.headers.push_back({settings_.names.request_id, std::string(id)});
   if (status == 503) {
-    reply.headers.push_back({"Retry-After", std::string(kSoon)});
+    reply.headers.push_back({"Retry-After", std::string(kShortRetryAfter)});
   }
-  reply.body = R"({"error":")" + std::string(why) + R"("})";
+  reply.body = R"({"error":")" + std::string(reason) + R"("})";
   session->Reply(reply);
 }
 
 void TrafficServer::OnRequest(const std::shared_ptr<HttpSession>& session,
                               HttpRequest request) {
   if (!config_ || !has_servers_) {
-    if (early_.Hold(session, &request)) return;
+    if (early_requests_.Hold(session, &request)) return;
     Refuse(session.get(), request, 503, "not_ready");
     return;
   }
-  if (stopping_ && loop_->now() - stop_began_ >= settings_.stop_refuse) {
+  if (stopping_ &&
+      loop_->now() - stop_started_at_ >= settings_.stop_refuse_after) {
     Refuse(session.get(), request, 503, "leaving");
     return;
   }
   const auto* route = RouteOf(request);
-  if (route != nullptr && HandOver(session, request, *route)) return;
-  ServeHere(session, std::move(request), route);
+  if (route != nullptr && ForwardToPeer(session, request, *route)) return;
+  ServeLocally(session, std::move(request), route);
 }
 
 const engine::Route* TrafficServer::RouteOf(const HttpRequest& request) const {
@@ -323,8 +330,9 @@
                            request.target);
 }
 
-void TrafficServer::ServeHere(const std::shared_ptr<HttpSession>& session,
-                              HttpRequest request, const engine::Route* route) {
+void TrafficServer::ServeLocally(const std::shared_ptr<HttpSession>& session,
+                                 HttpRequest request,
+                                 const engine::Route* route) {
   if (route == nullptr) {
     Refuse(session.get(), request, 404, "unknown_route");
     return;
@@ -334,42 +342,43 @@
 
 void TrafficServer::Serve(const std::shared_ptr<HttpSession>& session,
                           HttpRequest request, const engine::Route& route,
-                          const std::optional<HandedQuery>& handed) {
+                          const std::optional<ForwardedQuery>& forwarded) {
   const std::string id(FindHeader(request.headers, settings_.names.request_id));
-  auto query = std::make_shared<QueryRun>(&context_, config_, &route,
-                                          PaceOf(route), std::move(request));
+  auto query = std::make_shared<QueryRun>(
+      &context_, config_, &route, RouteLatencyOf(route), std::move(request));
   std::vector<ServiceId> services;
-  if (handed) query->set_handed(handed->clocks);
-  if (handed && !handed->shards.empty()) {
-    for (const size_t i : handed->shards) {
+  if (forwarded) query->set_forwarded(forwarded->deadlines);
+  if (forwarded && !forwarded->shard_indices.empty()) {
+    for (const size_t i : forwarded->shard_indices) {
       services.push_back(route.gather->shards[i]);
     }
-    query->set_partial(handed->shards);
+    query->set_shard_indices(forwarded->shard_indices);
   } else {
     services = ServicesFor(route);
   }
   running_.insert(query);
-  CancelIfGone(session, query);
+  CancelOnDisconnect(session, query);
   const std::weak_ptr<QueryRun> weak = query;
   query->Start(
       services,
       [this, session, weak, id, route_id = route.id, version = config_->version,
-       is_handed = handed.has_value()](const QueryOutcome& outcome) {
+       is_forwarded = forwarded.has_value()](const QueryOutcome& outcome) {
         metrics_.Count(outcome);
-        request_log_.Ended(id, route_id, version, outcome, loop_->now());
+        request_log_.LogOutcome(id, route_id, version, outcome, loop_->now());
         const auto ended = weak.lock();
-        if (is_handed) {
+        if (is_forwarded) {
           AnswerPeer(session, outcome, ended, id);
         } else {
           session->Reply(outcome.reply);
         }
-        if (ended && outcome.open.empty()) running_.erase(ended);
+        if (ended && outcome.open_shards.empty()) running_.erase(ended);
       });
 }
 
-void TrafficServer::CancelIfGone(const std::shared_ptr<HttpSession>& session,
-                                 const std::shared_ptr<QueryRun>& query) {
-  session->set_on_gone([this, query] {
+void TrafficServer::CancelOnDisconnect(
+    const std::shared_ptr<HttpSession>& session,
+    const std::shared_ptr<QueryRun>& query) {
+  session->set_on_disconnect([this, query] {
     query->Cancel();
     running_.erase(query);
   });
@@ -378,33 +387,34 @@
 void TrafficServer::Stop(const std::function<void()>& done) {
   if (stopping_) return;
   stopping_ = true;
-  stop_began_ = loop_->now();
+  stop_started_at_ = loop_->now();
   Log(Part::kDaemon)
       .info("stopping: reporting not ready, {} queries running",
             running_.size());
-  StopStep(done);
+  ContinueStop(done);
 }
 
-void TrafficServer::StopStep(const std::function<void()>& done) {
-  const Millis age = loop_->now() - stop_began_;
-  if (age >= settings_.stop_answer) AnswerWhatIsLeft();
-  const bool quiet =
-      age >= settings_.stop_refuse && running_.empty() && callers_.busy() == 0;
-  if (quiet && callers_.IsAccepting()) {
+void TrafficServer::ContinueStop(const std::function<void()>& done) {
+  const Millis elapsed = loop_->now() - stop_started_at_;
+  if (elapsed >= settings_.stop_answer_after) AnswerRemaining();
+  const bool is_idle = elapsed >= settings_.stop_refuse_after &&
+                       running_.empty() && callers_.busy_sessions() == 0;
+  if (is_idle && callers_.IsAccepting()) {
     // Accepting until the very end would break connections unanswered. What
     // they send is read until the next check.
     callers_.StopAccepting();
-  } else if (quiet) {
+  } else if (is_idle) {
     callers_.CloseIdle();
   }
   // Time for the last replies to be read before the process ends.
-  constexpr Millis kLastReads{400};
-  if (age >= settings_.stop_end ||
-      (quiet && age >= settings_.stop_refuse + kLastReads)) {
+  constexpr Millis kLastReadTime{400};
+  if (elapsed >= settings_.stop_exit_after ||
+      (is_idle && elapsed >= settings_.stop_refuse_after + kLastReadTime)) {
     done();
     return;
   }
-  loop_->At(loop_->now() + kStopCheck, [this, done] { StopStep(done); });
+  loop_->RunAt(loop_->now() + kStopCheckInterval,
+               [this, done] { ContinueStop(done); });
 }
 
 }  // namespace hibiscuspick::edge
--- a/packages/edge/tests/cold_servers_test.cc
+++ b/packages/edge/tests/cold_servers_test.cc
@@ -11,18 +11,18 @@
 namespace hibiscuspick::edge {
 namespace {
 
-RawServer::Script Answers(const std::string& more = "") {
+RawServer::Script Replies(const std::string& extra_headers = "") {
   return [=](const std::string& request) {
-    auto text = GoodAnswer(request, "stamp", "here");
-    text.insert(text.find("\r\n") + 2, more);
-    return Scripted{.text = text};
+    auto text = ValidReply(request, "stamp", "here");
+    text.insert(text.find("\r\n") + 2, extra_headers);
+    return ScriptedReply{.text = text};
   };
 }
 
 // One route to a service whose cold servers accept eight requests per window.
-class Bounded : public TrafficFixture {
+class ColdServerFixture : public TrafficFixture {
  public:
-  explicit Bounded(const RawServer::Script& script) {
+  explicit ColdServerFixture(const RawServer::Script& script) {
     auto& route = AddRoute("/p/");
     route.split = {{ServiceId("s"), 1}};
     route.idempotency = engine::Idempotency::kIdempotent;
@@ -41,7 +41,7 @@
     std::vector<std::unique_ptr<RawClient>> clients;
     for (int n = 0; n < 20; ++n) {
       clients.push_back(std::make_unique<RawClient>(port()));
-      clients.back()->Say(RequestText("GET /p/x"));
+      clients.back()->Send(RequestText("GET /p/x"));
     }
     while (sent() < expected && SteadyNow() < end) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -53,25 +53,25 @@
 
 // Checks the limit, and that not much less was sent: a starved machine may not
 // get to all of them.
-void CheckBound(Bounded* fixture, size_t bound) {
-  const size_t sent = fixture->SentAtOnce(bound);
-  BOOST_TEST(sent <= bound);
-  BOOST_TEST(sent >= bound / 2);
+void CheckLimit(ColdServerFixture* fixture, size_t limit) {
+  const size_t sent = fixture->SentAtOnce(limit);
+  BOOST_TEST(sent <= limit);
+  BOOST_TEST(sent >= limit / 2);
 }
 
 // Failure: a server that has just started gets as many requests as a warm one
 // and breaks down.
-BOOST_AUTO_TEST_CASE(ColdServersGetNoMoreThanTheBound) {
-  Bounded fixture(Answers());
-  fixture.AddServer("other", Answers());
+BOOST_AUTO_TEST_CASE(ColdServersAreLimited) {
+  ColdServerFixture fixture(Replies());
+  fixture.AddServer("other", Replies());
   fixture.entries()[0].warmup_left = Millis(60000);
   fixture.Publish();
-  CheckBound(&fixture, 8);
+  CheckLimit(&fixture, 8);
 }
 
 // Failure: a warm server is limited like a cold one.
-BOOST_AUTO_TEST_CASE(WarmServersAreNotBounded) {
-  Bounded fixture(Answers());
+BOOST_AUTO_TEST_CASE(WarmServersAreNotLimited) {
+  ColdServerFixture fixture(Replies());
   fixture.Publish();
   // Twice the limit of a cold server; all 20 if the machine has time for them.
   BOOST_TEST(fixture.SentAtOnce(20) >= 16);
@@ -79,34 +79,34 @@
 
 // Failure: a server that reports in its replies that it is cold again is
 // treated as warm until the directory's next report.
-BOOST_AUTO_TEST_CASE(ServersWordThatTheyAreColdIsTaken) {
-  Bounded fixture(Answers("Q-Warmup: 60000\r\n"));
+BOOST_AUTO_TEST_CASE(WarmupHeaderLimitsTheServer) {
+  ColdServerFixture fixture(Replies("Q-Warmup: 60000\r\n"));
   fixture.Publish();
   fixture.Ask("GET /p/x");
-  CheckBound(&fixture, 7);
+  CheckLimit(&fixture, 7);
 }
 
 // Failure: after an evacuation servers are cold without having reported it, and
 // get the full load at once.
-BOOST_AUTO_TEST_CASE(ServersAreTakenForColdAfterAnEvacuation) {
-  Bounded fixture(Answers());
+BOOST_AUTO_TEST_CASE(ServersAreColdAfterEvacuation) {
+  ColdServerFixture fixture(Replies());
   fixture.Publish();
   fixture.OnLoop([&] { fixture.server().SetEvacuated({DataCentreId("dc")}); });
   fixture.OnLoop([&] { fixture.server().SetEvacuated({}); });
-  CheckBound(&fixture, 8);
+  CheckLimit(&fixture, 8);
 }
 
 // Failure: requests of a route that is restricted to some data centres reach a
 // server elsewhere, for instance as a retry.
-BOOST_AUTO_TEST_CASE(RoutesAreKeptToTheirHomes) {
+BOOST_AUTO_TEST_CASE(RoutesUseAllowedDataCentresOnly) {
   TrafficFixture fixture;
   auto& route = fixture.AddRoute("/p/");
   route.split = {{ServiceId("s"), 1}};
   route.idempotency = engine::Idempotency::kIdempotent;
   route.allowed_data_centres = std::set<DataCentreId>{DataCentreId("home")};
-  fixture.AddServer("s", Answers());
-  fixture.AddServer("s",
-                    [](auto&) { return Scripted{.text = "", .resets = true}; });
+  fixture.AddServer("s", Replies());
+  fixture.AddServer(
+      "s", [](auto&) { return ScriptedReply{.text = "", .resets = true}; });
   fixture.entries()[1].data_centre = DataCentreId("home");
   fixture.Publish();
   for (int n = 0; n < 4; ++n) fixture.Ask("GET /p/x");
--- a/packages/edge/tests/gather_traffic_test.cc
+++ b/packages/edge/tests/gather_traffic_test.cc
@@ -13,13 +13,13 @@
 // A route over `shards` services with two servers each; the script gets the
 // index of the shard and of its server.
 using ShardScript =
-    std::function<Scripted(size_t shard, int server, const std::string&)>;
+    std::function<ScriptedReply(size_t shard, int server, const std::string&)>;
 
-void AddGather(TrafficFixture* fixture, size_t shards, double least,
+void AddGather(TrafficFixture* fixture, size_t shards, double min_coverage,
                const ShardScript& script) {
   engine::GatherRule rule;
   rule.top = 3;
-  rule.min_coverage = least;
+  rule.min_coverage = min_coverage;
   for (size_t i = 0; i < shards; ++i) {
     const std::string service = "shard-" + std::to_string(i);
     rule.shards.emplace_back(service);
@@ -35,15 +35,15 @@
   fixture->Publish();
 }
 
-Scripted Part(size_t shard, const std::string& request) {
+ScriptedReply PartReply(size_t shard, const std::string& request) {
   const char it = static_cast<char>('a' + shard);
-  return {.text = GoodAnswer(request, std::string("stamp-") + it,
+  return {.text = ValidReply(request, std::string("stamp-") + it,
                              Record(it) + "rest")};
 }
 
 std::set<std::string> StampsOf(const std::string& answer) {
   std::set<std::string> stamps;
-  std::string list = HeaderIn(answer, "Q-Stamps") + ", ";
+  std::string list = HeaderValue(answer, "Q-Stamps") + ", ";
   for (size_t at = 0; (at = list.find(", ")) != std::string::npos;) {
     stamps.insert(list.substr(0, at));
     list.erase(0, at + 2);
@@ -52,32 +52,32 @@
   return stamps;
 }
 
-BOOST_AUTO_TEST_CASE(WholeAnswerNamesAllParts) {
+BOOST_AUTO_TEST_CASE(CompleteAnswerHasAllStamps) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
-    return Part(shard, request);
+    return PartReply(shard, request);
   });
   const auto answer = fixture.Ask("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(StampsOf(answer).size() == 5);
-  BOOST_TEST(HeaderIn(answer, "Q-Missing") == "0");
+  BOOST_TEST(HeaderValue(answer, "Q-Missing") == "0");
   BOOST_TEST(answer.ends_with(Record('e') + Record('d') + Record('c')));
 }
 
 // Failure: both servers of a shard are silent, and the whole answer waits for
 // them. The caller gets the received parts at its target and the number of
 // missing shards.
-BOOST_AUTO_TEST_CASE(AnswersAtTheTargetWithWhatIsIn) {
+BOOST_AUTO_TEST_CASE(AnswersAtTargetWithReceivedParts) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
-    if (shard == 4) return Scripted{.text = "", .silent = true};
-    return Part(shard, request);
+    if (shard == 4) return ScriptedReply{.text = "", .silent = true};
+    return PartReply(shard, request);
   });
   const auto began = SteadyNow();
   const auto answer = fixture.Ask("GET /g/x");
   BOOST_TEST((SteadyNow() - began).count < 1500);
   BOOST_TEST(StampsOf(answer).size() == 4);
-  BOOST_TEST(HeaderIn(answer, "Q-Missing") == "1");
+  BOOST_TEST(HeaderValue(answer, "Q-Missing") == "1");
   BOOST_TEST(answer.ends_with(Record('d') + Record('c') + Record('b')));
 }
 
@@ -85,8 +85,9 @@
 BOOST_AUTO_TEST_CASE(SilentServersAreHedged) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 1, [](size_t shard, int server, auto& request) {
-    if (shard == 2 && server == 0) return Scripted{.text = "", .silent = true};
-    return Part(shard, request);
+    if (shard == 2 && server == 0)
+      return ScriptedReply{.text = "", .silent = true};
+    return PartReply(shard, request);
   });
   for (int i = 0; i < 4; ++i) {
     BOOST_TEST(StampsOf(fixture.Ask("GET /g/x")).size() == 5);
@@ -95,35 +96,36 @@
 
 // Failure: a reply to another request, or an error reply with a stamp, is
 // merged and makes the whole answer wrong.
-BOOST_AUTO_TEST_CASE(BadPartsAreNotCounted) {
+BOOST_AUTO_TEST_CASE(InvalidPartsAreNotMerged) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.6, [](size_t shard, int, auto& request) {
     if (shard == 0) {
-      return Scripted{
-          .text = GoodAnswer("\r\nQ-Id: another\r\n", "bad-a", Record('z'))};
+      return ScriptedReply{
+          .text = ValidReply("\r\nQ-Id: another\r\n", "bad-a", Record('z'))};
     }
     if (shard == 1) {
-      return Scripted{.text =
-                          "HTTP/1.1 500 Oops\r\nQ-Id: one\r\nQ-Stamp: bad-b\r\n"
-                          "Content-Length: 16\r\n\r\n" +
-                          Record('z')};
+      return ScriptedReply{
+          .text =
+              "HTTP/1.1 500 Oops\r\nQ-Id: one\r\nQ-Stamp: bad-b\r\n"
+              "Content-Length: 16\r\n\r\n" +
+              Record('z')};
     }
-    return Part(shard, request);
+    return PartReply(shard, request);
   });
   const auto answer = fixture.Ask("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
-  BOOST_TEST(HeaderIn(answer, "Q-Missing") == "2");
+  BOOST_TEST(HeaderValue(answer, "Q-Missing") == "2");
   BOOST_TEST(answer.find("bad-") == std::string::npos);
   BOOST_TEST(answer.find(Record('z')) == std::string::npos);
 }
 
 // Failure: more shards have failed than may be missing, and the caller is told
 // only at its deadline, too late to ask elsewhere.
-BOOST_AUTO_TEST_CASE(FailsAsSoonAsTheShareIsOutOfReach) {
+BOOST_AUTO_TEST_CASE(FailsOnceMinCoverageIsUnreachable) {
   TrafficFixture fixture;
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
-    if (shard < 2) return Scripted{.text = "", .resets = true};
-    return Part(shard, request);
+    if (shard < 2) return ScriptedReply{.text = "", .resets = true};
+    return PartReply(shard, request);
   });
   const auto began = SteadyNow();
   const auto answer = fixture.Ask("GET /g/x");
@@ -133,15 +135,15 @@
 
 // Failure: the configuration changes while a query runs and its parts come from
 // two versions. They must be those of the version it began with.
-BOOST_AUTO_TEST_CASE(PartsAreOfOneVersion) {
+BOOST_AUTO_TEST_CASE(PartsUseOneConfigurationVersion) {
   TrafficFixture fixture;
   AddGather(&fixture, 3, 1, [](size_t shard, int, auto& request) {
-    auto part = Part(shard, request);
+    auto part = PartReply(shard, request);
     part.wait_ms = 100;
     return part;
   });
   RawClient client(fixture.port());
-  client.Say(TrafficFixture::RequestText("GET /g/x", "Connection: close\r\n"));
+  client.Send(TrafficFixture::RequestText("GET /g/x", "Connection: close\r\n"));
   std::this_thread::sleep_for(std::chrono::milliseconds(30));
   fixture.OnLoop([&] {
     auto next = std::make_shared<engine::TrafficConfig>();
@@ -149,7 +151,7 @@
     engine::IndexRoutes(next.get());
     fixture.server().SetConfig(next);
   });
-  BOOST_TEST(StampsOf(client.Hear()).size() == 3);
+  BOOST_TEST(StampsOf(client.Receive()).size() == 3);
   BOOST_TEST(fixture.Ask("GET /g/x").starts_with("HTTP/1.1 404 "));
 }
 
@@ -157,44 +159,44 @@
 // queries and never reply, and each caller waits until its deadline. Callers
 // after the first are refused immediately, with a Retry-After of the next
 // probe.
-BOOST_AUTO_TEST_CASE(SilentServersAreDoubtedBeforeTheFirstCallerGivesUp) {
+BOOST_AUTO_TEST_CASE(SilentServersAreDetectedBeforeTheDeadline) {
   TrafficFixture fixture;
   AddGather(&fixture, 3, 0.8, [](size_t, int, auto&) {
-    return Scripted{.text = "", .silent = true};
+    return ScriptedReply{.text = "", .silent = true};
   });
   RawClient first(fixture.port());
-  first.Say(TrafficFixture::RequestText("GET /g/x"));
+  first.Send(TrafficFixture::RequestText("GET /g/x"));
   BOOST_TEST(Eventually([&] {
     size_t asked = 0;
     for (auto& it : fixture.servers()) asked += it->requests().size();
     return asked == 6;
   }));
   for (auto& it : fixture.servers()) it->StopAccepting();
-  constexpr int kDoubtedAfter = 900;
-  std::this_thread::sleep_for(std::chrono::milliseconds(kDoubtedAfter));
+  constexpr int kSilenceDetectedMs = 900;
+  std::this_thread::sleep_for(std::chrono::milliseconds(kSilenceDetectedMs));
   const auto answer = fixture.Ask("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
-  BOOST_TEST(HeaderIn(answer, "Retry-After") == "0.300");
+  BOOST_TEST(HeaderValue(answer, "Retry-After") == "0.300");
 }
 
 // Failure: queries are answered at their target without a late shard, whose
 // servers' slots stay taken by the superfluous parts, and a caller that waits
 // for a slot gets none before its deadline. It must get one at once.
-BOOST_AUTO_TEST_CASE(AbandonedPartsMakeRoomForThoseThatWait) {
+BOOST_AUTO_TEST_CASE(AbandonedPartsFreeSlotsForQueuedParts) {
   TrafficFixture fixture;
   auto& plain = fixture.AddRoute("/p/");
   plain.split = {{ServiceId("shard-1"), 1}};
   plain.timeout = Millis(620);
   AddGather(&fixture, 2, 0.5, [](size_t shard, int, auto& request) {
     if (shard == 1 && request.starts_with("GET /g/")) {
-      return Scripted{.text = "", .silent = true};
+      return ScriptedReply{.text = "", .silent = true};
     }
-    return Part(shard, request);
+    return PartReply(shard, request);
   });
   std::vector<std::unique_ptr<RawClient>> queries;
   for (int i = 0; i < 4; ++i) {
     queries.push_back(std::make_unique<RawClient>(fixture.port()));
-    queries.back()->Say(
+    queries.back()->Send(
         TrafficFixture::RequestText("GET /g/x", "Connection: close\r\n"));
   }
   const auto& servers = fixture.servers();
@@ -203,7 +205,7 @@
   }));
   BOOST_TEST(fixture.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
   for (auto& it : queries) {
-    BOOST_TEST(it->Hear().starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(it->Receive().starts_with("HTTP/1.1 200 "));
   }
 }
 
--- a/packages/edge/tests/bad_requests_test.cc
+++ b/packages/edge/tests/invalid_requests_test.cc
@@ -10,19 +10,19 @@
 namespace hibiscuspick::edge {
 namespace {
 
-struct BadRow {
+struct InvalidRow {
   const char* name;
   std::string text;
   int status;
 };
 
-std::ostream& operator<<(std::ostream& out, const BadRow& row) {
+std::ostream& operator<<(std::ostream& out, const InvalidRow& row) {
   return out << row.name;
 }
 
 const char kHead[] = "POST /p/x HTTP/1.1\r\nHost: h\r\nQ-Id: one\r\n";
 
-const BadRow kBad[] = {
+const InvalidRow kInvalid[] = {
     {"two lengths",
      std::string(kHead) + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
      400},
@@ -55,34 +55,35 @@
 // Failure: the instance and a server parse an ambiguous request differently, so
 // that one caller's bytes become another's request (request smuggling). None
 // may reach a server.
-BOOST_DATA_TEST_CASE(RefusedBeforeAnyServer, bdata::make(kBad), row) {
+BOOST_DATA_TEST_CASE(InvalidRequestsReachNoServer, bdata::make(kInvalid), row) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
   auto& server = fixture.AddServer("s", [](const std::string& request) {
-    return Scripted{.text = GoodAnswer(request, "s", "")};
+    return ScriptedReply{.text = ValidReply(request, "s", "")};
   });
   fixture.Publish();
   RawClient client(fixture.port());
-  client.Say(row.text);
-  const auto answer = client.Hear();
+  client.Send(row.text);
+  const auto answer = client.Receive();
   BOOST_TEST(answer.starts_with("HTTP/1.1 " + std::to_string(row.status)));
-  BOOST_TEST(HeaderIn(answer, "Connection") == "close");
+  BOOST_TEST(HeaderValue(answer, "Connection") == "close");
   BOOST_TEST(server.requests().empty());
 }
 
 // Callers may send the next request before the reply to the previous one.
-BOOST_AUTO_TEST_CASE(EarlyRequestsAreAnsweredInOrder) {
+BOOST_AUTO_TEST_CASE(PipelinedRequestsAreAnsweredInOrder) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
   fixture.AddServer("s", [](const std::string& request) {
-    return Scripted{.text = GoodAnswer(
-                        request, "s", request.substr(0, request.find(' ', 4)))};
+    return ScriptedReply{
+        .text =
+            ValidReply(request, "s", request.substr(0, request.find(' ', 4)))};
   });
   fixture.Publish();
   RawClient client(fixture.port());
-  client.Say(TrafficFixture::RequestText("GET /p/1") +
-             TrafficFixture::RequestText("GET /p/2", "Connection: close\r\n"));
-  const auto answers = client.Hear();
+  client.Send(TrafficFixture::RequestText("GET /p/1") +
+              TrafficFixture::RequestText("GET /p/2", "Connection: close\r\n"));
+  const auto answers = client.Receive();
   const size_t first = answers.find("GET /p/1");
   const size_t second = answers.find("GET /p/2");
   BOOST_TEST(first != std::string::npos);
@@ -91,11 +92,11 @@
 }
 
 // A chunked body reaches the server with the same bytes.
-BOOST_AUTO_TEST_CASE(ChunkedBodiesArePassedOn) {
+BOOST_AUTO_TEST_CASE(ChunkedBodiesAreForwarded) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
   auto& server = fixture.AddServer("s", [](const std::string& request) {
-    return Scripted{.text = GoodAnswer(request, "s", "")};
+    return ScriptedReply{.text = ValidReply(request, "s", "")};
   });
   fixture.Publish();
   const auto answer = fixture.Ask(
--- a/packages/edge/tests/raw_sockets.h
+++ b/packages/edge/tests/raw_sockets.h
@@ -37,7 +37,7 @@
   return fd;
 }
 
-inline std::pair<int, uint16_t> ListenAnywhere() {
+inline std::pair<int, uint16_t> ListenOnFreePort() {
   const int fd = ListenAt(0);
   sockaddr_in address{};
   socklen_t n = sizeof(address);
@@ -60,24 +60,24 @@
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
-  bool WasConnected() const { return connected_; }
-  void Say(const std::string& text) {
+  bool IsConnected() const { return connected_; }
+  void Send(const std::string& text) {
     (void)send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
   // Receives until the peer closes, `until` is found or nothing arrives for ten
   // seconds.
-  std::string Hear(const std::string& until = "") {
-    constexpr int kPatience = 10000;
-    std::string heard;
-    while (until.empty() || heard.find(until) == std::string::npos) {
+  std::string Receive(const std::string& until = "") {
+    constexpr int kTimeoutMs = 10000;
+    std::string received;
+    while (until.empty() || received.find(until) == std::string::npos) {
       pollfd wait{fd_, POLLIN, 0};
-      if (poll(&wait, 1, kPatience) <= 0) break;
+      if (poll(&wait, 1, kTimeoutMs) <= 0) break;
       char buf[4096];
       const ssize_t n = recv(fd_, buf, sizeof(buf), 0);
       if (n <= 0) break;
-      heard.append(buf, static_cast<size_t>(n));
+      received.append(buf, static_cast<size_t>(n));
     }
-    return heard;
+    return received;
   }
 
  private:
@@ -86,7 +86,7 @@
 };
 
 // How a scripted server replies to one request.
-struct Scripted {
+struct ScriptedReply {
   // Sent unchanged.
   std::string text;
   // Closes the connection after the text.
@@ -100,10 +100,10 @@
 
 class RawServer {
  public:
-  using Script = std::function<Scripted(const std::string& request)>;
+  using Script = std::function<ScriptedReply(const std::string& request)>;
 
   explicit RawServer(Script script) : script_(std::move(script)) {
-    std::tie(listener_, port_) = ListenAnywhere();
+    std::tie(listener_, port_) = ListenOnFreePort();
     acceptor_ = std::thread([this] { Accept(); });
   }
   ~RawServer() {
@@ -144,33 +144,35 @@
     }
   }
   void Serve(int fd) {
-    std::string in;
+    std::string buffer;
     char buf[4096];
     while (true) {
-      const size_t end = in.find("\r\n\r\n");
+      const size_t end = buffer.find("\r\n\r\n");
       if (end == std::string::npos) {
         const ssize_t n = recv(fd, buf, sizeof(buf), 0);
         if (n <= 0) break;
-        in.append(buf, static_cast<size_t>(n));
+        buffer.append(buf, static_cast<size_t>(n));
         continue;
       }
-      const std::string request = std::exchange(in, "");
+      const std::string request = std::exchange(buffer, "");
       {
         const std::lock_guard lock(mutex_);
         requests_.push_back(request);
       }
-      const Scripted act = script_(request);
-      if (act.wait_ms > 0) usleep(static_cast<useconds_t>(act.wait_ms) * 1000);
-      if (act.silent) {
+      const ScriptedReply reply = script_(request);
+      if (reply.wait_ms > 0)
+        usleep(static_cast<useconds_t>(reply.wait_ms) * 1000);
+      if (reply.silent) {
         if (recv(fd, buf, sizeof(buf), 0) <= 0) ++abandoned_;
         break;
       }
-      (void)send(fd, act.text.data(), act.text.size(), MSG_NOSIGNAL);
-      if (act.resets) {
-        const linger hard{1, 0};
-        setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+      (void)send(fd, reply.text.data(), reply.text.size(), MSG_NOSIGNAL);
+      if (reply.resets) {
+        const linger abort_on_close{1, 0};
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &abort_on_close,
+                   sizeof(abort_on_close));
       }
-      if (act.closes || act.resets) break;
+      if (reply.closes || reply.resets) break;
     }
     const std::lock_guard lock(mutex_);
     std::erase(open_, fd);
--- a/packages/edge/tests/restarted_servers_test.cc
+++ b/packages/edge/tests/restarted_servers_test.cc
@@ -12,9 +12,9 @@
 namespace hibiscuspick::edge {
 namespace {
 
-RawServer::Script Answers(const std::string& body) {
+RawServer::Script Replies(const std::string& body) {
   return [=](const std::string& request) {
-    return Scripted{.text = GoodAnswer(request, "stamp", body)};
+    return ScriptedReply{.text = ValidReply(request, "stamp", body)};
   };
 }
 
@@ -40,10 +40,10 @@
 // Failure: a backend server restarts under the same id, and the state of its
 // predecessor is applied to it. It would get no requests although it is ready
 // and the only server.
-BOOST_DATA_TEST_CASE(RestartedServersBeginClean, bdata::make(kEarlier), row) {
+BOOST_DATA_TEST_CASE(RestartedServersHaveNoState, bdata::make(kEarlier), row) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
-  fixture.AddServer("s", Answers("here"));
+  fixture.AddServer("s", Replies("here"));
   const auto later = fixture.entries()[0];
   auto& entry = fixture.entries()[0];
   entry.incarnation = Incarnation(100);
@@ -61,21 +61,21 @@
 // Failure: the list changes to a new incarnation while the previous one runs a
 // request. Its answer is the caller's, but neither its connection nor its
 // statistics may be used for the new incarnation.
-BOOST_AUTO_TEST_CASE(AnswersOfAnEarlierIncarnationAreNoneOfTheLater) {
+BOOST_AUTO_TEST_CASE(AnswersOfEarlierIncarnationDoNotAffectLater) {
   TrafficFixture fixture;
   fixture.AddRoute("/p/").split = {{ServiceId("s"), 1}};
-  std::atomic<bool> go = false;
+  std::atomic<bool> may_reply = false;
   auto& earlier = fixture.AddServer("s", [&](const std::string& request) {
-    Eventually([&] { return go.load(); });
-    return Scripted{.text = GoodAnswer(request, "stamp", "earlier")};
+    Eventually([&] { return may_reply.load(); });
+    return ScriptedReply{.text = ValidReply(request, "stamp", "earlier")};
   });
-  auto& later = fixture.AddServer("s", Answers("later"));
+  auto& later = fixture.AddServer("s", Replies("later"));
   const auto second = fixture.entries()[1];
   fixture.entries().pop_back();
   fixture.entries()[0].incarnation = Incarnation(100);
   fixture.Publish(1);
   RawClient client(fixture.port());
-  client.Say(
+  client.Send(
       TrafficFixture::RequestText("GET /p/one", "Connection: close\r\n"));
   BOOST_TEST_REQUIRE(
       Eventually([&] { return earlier.requests().size() == 1; }));
@@ -83,8 +83,8 @@
   entry.incarnation = Incarnation(200);
   entry.address = second.address;
   fixture.Publish(2);
-  go = true;
-  BOOST_TEST(client.Hear().ends_with("earlier"));
+  may_reply = true;
+  BOOST_TEST(client.Receive().ends_with("earlier"));
   BOOST_TEST(fixture.Ask("GET /p/two").ends_with("later"));
   BOOST_TEST(later.requests().size() == 1);
   BOOST_TEST(earlier.requests().size() == 1);
--- a/packages/edge/tests/traffic_fixture.h
+++ b/packages/edge/tests/traffic_fixture.h
@@ -17,7 +17,7 @@
 
 namespace hibiscuspick::edge {
 
-inline WireNames TestNames() {
+inline WireNames TestWireNames() {
   return {.request_id = "Q-Id",
           .deadline = "Q-Deadline",
           .stamp = "Q-Stamp",
@@ -30,7 +30,8 @@
 }
 
 // Value of a header in a serialised message; empty if it has none.
-inline std::string HeaderIn(const std::string& text, const std::string& name) {
+inline std::string HeaderValue(const std::string& text,
+                               const std::string& name) {
   const std::string key = "\r\n" + name + ": ";
   const size_t at = text.find(key);
   if (at == std::string::npos) return "";
@@ -39,10 +40,10 @@
 }
 
 // A valid reply to the request.
-inline std::string GoodAnswer(const std::string& request,
+inline std::string ValidReply(const std::string& request,
                               const std::string& stamp,
                               const std::string& body) {
-  return "HTTP/1.1 200 OK\r\nQ-Id: " + HeaderIn(request, "Q-Id") +
+  return "HTTP/1.1 200 OK\r\nQ-Id: " + HeaderValue(request, "Q-Id") +
          "\r\nQ-Stamp: " + stamp +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
@@ -55,17 +56,17 @@
     settings.callers = {"127.0.0.1", FreePort()};
     settings.readiness = {"127.0.0.1", FreePort()};
     settings.readiness_path = "/ready";
-    settings.queries = {"127.0.0.1", FreePort()};
+    settings.peer_queries = {"127.0.0.1", FreePort()};
     peer_.id = InstanceId(data_centre);
     peer_.data_centre = DataCentreId(data_centre);
-    peer_.query_address = settings.queries;
-    settings.names = TestNames();
+    peer_.query_address = settings.peer_queries;
+    settings.names = TestWireNames();
     settings.backends.choice.own_data_centre = DataCentreId(data_centre);
     settings.extra_slack = 10;
     settings.instances = 1;
-    settings.stop_refuse = Millis(200);
-    settings.stop_answer = Millis(600);
-    settings.stop_end = Millis(900);
+    settings.stop_refuse_after = Millis(200);
+    settings.stop_answer_after = Millis(600);
+    settings.stop_exit_after = Millis(900);
     port_ = settings.callers.port;
     ready_port_ = settings.readiness.port;
     server_ = std::make_unique<TrafficServer>(&loop_, settings);
@@ -132,26 +133,27 @@
   }
 
   static std::string RequestText(const std::string& line,
-                                 const std::string& more = "") {
+                                 const std::string& extra_headers = "") {
     return line + " HTTP/1.1\r\nHost: h\r\nQ-Id: one\r\nQ-Deadline: 2000\r\n" +
-           more + "\r\n";
+           extra_headers + "\r\n";
   }
   // Sends a request on a new connection and returns the whole reply.
-  std::string Ask(const std::string& line, const std::string& more = "") const {
+  std::string Ask(const std::string& line,
+                  const std::string& extra_headers = "") const {
     RawClient client(port_);
-    client.Say(RequestText(line, "Connection: close\r\n" + more));
-    return client.Hear();
+    client.Send(RequestText(line, "Connection: close\r\n" + extra_headers));
+    return client.Receive();
   }
-  std::string AskReady(const std::string& path = "/ready") const {
+  std::string AskReadiness(const std::string& path = "/ready") const {
     RawClient client(ready_port_);
-    client.Say("GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
-    return client.Hear();
+    client.Send("GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
+    return client.Receive();
   }
 
   // This instance as its peers know it.
   const engine::Peer& peer() const { return peer_; }
   // Gives the other fixture the same routes and servers.
-  void ShareWith(TrafficFixture* other) const {
+  void CopyConfigTo(TrafficFixture* other) const {
     other->config_ = config_;
     other->entries_ = entries_;
     other->Publish();
