--- a/benchmarks/policy/decision_cost.cc
+++ b/benchmarks/policy/decision_cost.cc
@@ -38,7 +38,7 @@
   Millis now(1000);
   const auto configs = Servers(servers);
   limits::GroupPolicy policy;
-  policy.refusal_enabled = false;
+  policy.admission_control_enabled = false;
   limits::Configure(&state, configs, {}, policy, now, &random, &actions);
   limits::NewTask task;
   for (const auto& it : configs) task.servers.push_back(it.id);
--- a/benchmarks/policy/main.cc
+++ b/benchmarks/policy/main.cc
@@ -44,19 +44,19 @@
   direct.connections.reserve = kDirectShare;
   limits::GroupPolicy direct_lanes = direct;
   direct_lanes.lanes_enabled = true;
-  direct_lanes.choice_enabled = true;
-  direct_lanes.refusal_enabled = true;
+  direct_lanes.two_choices = true;
+  direct_lanes.admission_control_enabled = true;
   direct_lanes.connections.reserve = 1;
   limits::GroupPolicy no_hedge;
   no_hedge.hedge.enabled = false;
   limits::GroupPolicy idle_hedge;
-  idle_hedge.hedge.first_in_line = false;
+  idle_hedge.hedge.prioritize_urgent = false;
   limits::GroupPolicy server_bulk;
-  server_bulk.bulk_rule = limits::BulkRule::kEachServer;
+  server_bulk.bulk_reservation = limits::BulkReservation::kPerServer;
   limits::GroupPolicy group_bulk;
-  group_bulk.bulk_rule = limits::BulkRule::kOneOfServers;
+  group_bulk.bulk_reservation = limits::BulkReservation::kPerShard;
   limits::GroupPolicy any_bulk;
-  any_bulk.bulk_rule = limits::BulkRule::kNone;
+  any_bulk.bulk_reservation = limits::BulkReservation::kNone;
   return {{"direct (baseline)", direct, false},
           {"direct, 1 in flight, lanes", direct_lanes, false},
           {"owners, no hedges", no_hedge, true},
--- a/benchmarks/policy/simulation.cc
+++ b/benchmarks/policy/simulation.cc
@@ -61,7 +61,7 @@
   void CarryOut(Engine* engine, const limits::StartAttempt& start);
   void CarryOut(Engine* engine, const limits::CancelAttempt& cancel);
   void CarryOut(Engine* engine, const limits::TaskDone& done);
-  void CarryOut(Engine* engine, const limits::PrepareConnection& prepare);
+  void CarryOut(Engine* engine, const limits::Preconnect& prepare);
   void CarryOut(Engine*, const limits::Decision&) {}
   void OnReply(Engine* engine, limits::AttemptReport report, Ending ending);
   void OnOutcome(uint64_t query, Code code, uint32_t attempts);
@@ -276,8 +276,7 @@
       hop, [this, query, done] { OnOutcome(query, done.code, done.attempts); });
 }
 
-void Simulation::CarryOut(Engine* engine,
-                          const limits::PrepareConnection& prepare) {
+void Simulation::CarryOut(Engine* engine, const limits::Preconnect& prepare) {
   events_.In(kNewConnection,
              [engine, prepare] { ++engine->idle_connections[prepare.server]; });
 }
--- a/packages/daemon/src/daemon_impl.h
+++ b/packages/daemon/src/daemon_impl.h
@@ -64,7 +64,7 @@
   static constexpr Millis kWordTakes{5000};
 
   ControlPorts MakeControlPorts();
-  routing::RunnerPorts MakeRunnerPorts();
+  routing::RunnerCallbacks MakeRunnerPorts();
   inner::MeshCallbacks MakeMeshCallbacks();
   records::RecordPorts MakeRecordPorts();
   front::CallersPorts MakeCallersPorts();
--- a/packages/daemon/src/daemon_ports.cc
+++ b/packages/daemon/src/daemon_ports.cc
@@ -16,7 +16,7 @@
   };
   ports.on_view = [this](const TrafficView& view) { TakeView(view); };
   ports.on_server_news = [this](const membership::ServerNews& news) {
-    executor_.TakeServerNews(news.server, news.incarnation, news.draining);
+    executor_.ApplyDrainReport(news.server, news.incarnation, news.draining);
   };
   ports.adopt_incarnation = [this](Incarnation it) {
     mesh_.SetIncarnation(it);
@@ -28,8 +28,8 @@
   return ports;
 }
 
-routing::RunnerPorts Daemon::Impl::MakeRunnerPorts() {
-  routing::RunnerPorts ports;
+routing::RunnerCallbacks Daemon::Impl::MakeRunnerPorts() {
+  routing::RunnerCallbacks ports;
   ports.send_part = [this](const InstanceId& to,
                            const limits::PartRequest& part) {
     if (!mesh_.Send(to, inner::Message(part))) runner_.OnPeerFailed(to);
--- a/packages/daemon/src/status.cc
+++ b/packages/daemon/src/status.cc
@@ -111,7 +111,7 @@
        [](const Metrics& it) { return it.counters.refused_queue_full; }},
       {"hibiscuspick_refused_deadline_total",
        "Tasks refused because their deadline could not be met.", "counter",
-       [](const Metrics& it) { return it.counters.refused_unreachable; }},
+       [](const Metrics& it) { return it.counters.refused_deadline; }},
       {"hibiscuspick_refused_no_server_total",
        "Tasks refused because no backend server may take them.", "counter",
        [](const Metrics& it) { return it.counters.refused_no_server; }},
--- a/packages/daemon/src/traffic_view.cc
+++ b/packages/daemon/src/traffic_view.cc
@@ -86,12 +86,12 @@
   policy.slots_enabled = slots;
   policy.hedge.enabled = hedge;
   policy.hedge.quantile = FractionOf(values, Key::kHedgeQuantile);
-  policy.hedge.min = MillisOf(values, Key::kHedgeMinMs);
-  policy.budget.share = FractionOf(values, Key::kHedgeBudget);
+  policy.hedge.min_delay = MillisOf(values, Key::kHedgeMinMs);
+  policy.budget.per_first_attempt = FractionOf(values, Key::kHedgeBudget);
   policy.ejection.failures =
       static_cast<int>(CountOf(values, Key::kEjectFailures));
   policy.ejection.max_share = FractionOf(values, Key::kEjectShareCap);
-  policy.ejection.span = MillisOf(values, Key::kEjectMs);
+  policy.ejection.first_duration = MillisOf(values, Key::kEjectMs);
   policy.slow_start = MillisOf(values, Key::kSlowStartMs);
   for (const Lane lane : kAllLanes) {
     limits::LanePolicy& entry = policy.lanes[LaneIndex(lane)];
@@ -116,7 +116,7 @@
   }
   group->policy.connections.owner = true;
   group->policy.connections.reserve = 0;
-  group->policy.connections.warm = 0;
+  group->policy.connections.preconnect = 0;
   const int sharers = ServingMembers(*view.members);
   for (auto& server : group->service.backend_servers) {
     server.max_connections = std::max(1, server.max_connections / sharers);
--- a/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
+++ b/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
@@ -74,10 +74,10 @@
   using OnOutcomes = std::function<void(std::vector<limits::ShardOutcome>)>;
   // Called when a backend server reports in a reply that it drains, or reports
   // its incarnation.
-  using OnServerNews =
+  using OnDrainReport =
       std::function<void(const BackendServerId&, Incarnation, bool draining)>;
 
-  PartExecutor(ExecutorOptions options, OnServerNews on_server_news);
+  PartExecutor(ExecutorOptions options, OnDrainReport on_drain_report);
   // Calls Stop.
   ~PartExecutor();
   PartExecutor(const PartExecutor&) = delete;
@@ -97,8 +97,8 @@
 
   // Handles a report of a backend server's incarnation and drain state from a
   // peer or the platform.
-  void TakeServerNews(const BackendServerId& server, Incarnation incarnation,
-                      bool draining);
+  void ApplyDrainReport(const BackendServerId& server, Incarnation incarnation,
+                        bool draining);
 
   // Runs a record with at most one attempt. Blocks until the outcome or the
   // deadline.
--- a/packages/dispatch/src/attempt_runner.cc
+++ b/packages/dispatch/src/attempt_runner.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kNotFoundStatus = 404;
-constexpr Millis kTimeoutSlack{2};
+constexpr Millis kTimeoutMargin{2};
 
 // Shard names are set by operators and may contain any character. Unescaped, a
 // slash or a line break would change the request.
@@ -36,9 +36,9 @@
 
 httplib::Request MakeAttemptRequest(const Job& job, const std::string& wire_id,
                                     Millis time_left) {
-  const std::string verb = job.record ? "/record" : "/query";
+  const std::string operation = job.record ? "/record" : "/query";
   auto request = http::MakeRequest(
-      "POST", "/v1/shards/" + EscapePath(job.shard.text) + verb,
+      "POST", "/v1/shards/" + EscapePath(job.shard.text) + operation,
       job.record ? job.record->body : job.part->body);
   request.set_header("X-Attempt-Id", wire_id);
   request.set_header("X-Snapshot", std::to_string(job.version.value));
@@ -58,34 +58,35 @@
          std::to_string(attempt.value);
 }
 
-AttemptResult SendAttempt(const AttemptOrder& order, const std::string& wire_id,
+AttemptResult SendAttempt(const AttemptSpec& spec, const std::string& wire_id,
                           const std::shared_ptr<http::Connection>& connection) {
   AttemptResult result;
-  result.report.attempt = order.attempt;
+  result.report.attempt = spec.attempt;
   const Millis begin = SteadyNow();
-  const Millis time_left = Max(Millis(1), order.deadline - begin);
+  const Millis time_left = Max(Millis(1), spec.deadline - begin);
   auto reply = connection->Send(
-      MakeAttemptRequest(order.job, wire_id, time_left), time_left);
+      MakeAttemptRequest(spec.job, wire_id, time_left), time_left);
   result.report.latency = SteadyNow() - begin;
   if (!IsOk(reply)) {
     result.report.code = ErrorOf(reply).code;
     // The HTTP library waits in whole milliseconds and so may time out slightly
     // early.
-    const bool at_deadline = result.report.latency + kTimeoutSlack >= time_left;
+    const bool at_deadline =
+        result.report.latency + kTimeoutMargin >= time_left;
     if (result.report.code == Code::kReadFailed && at_deadline) {
       result.report.code = Code::kDeadlineExceeded;
     }
     return result;
   }
-  const ExpectedEcho expected{wire_id, order.job.version, order.server,
-                              order.job.record != nullptr};
+  const ExpectedEcho expected{wire_id, spec.job.version, spec.server,
+                              spec.job.record != nullptr};
   CheckedReply checked = CheckReply(expected, ValueOf(reply));
   result.report.code = checked.code;
   result.report.held = std::move(checked.held);
   result.report.draining = checked.draining;
   result.report.incarnation = checked.incarnation;
   result.content.hits = std::move(checked.hits);
-  if (order.job.record) result.content.body = std::move(ValueOf(reply).body);
+  if (spec.job.record) result.content.body = std::move(ValueOf(reply).body);
   // After a wrong echo the connection is out of sync: the next reply on it may
   // also belong to another attempt.
   result.reusable = checked.code != Code::kWrongEcho && connection->IsOpen();
@@ -107,18 +108,18 @@
   return {done || status == kNotFoundStatus, connection->IsOpen()};
 }
 
-bool WarmUp(const std::shared_ptr<http::Connection>& connection,
-            Millis timeout) {
+bool OpenConnection(const std::shared_ptr<http::Connection>& connection,
+                    Millis timeout) {
   const auto reply =
       connection->Send(http::MakeRequest("GET", "/v1/health"), timeout);
   return IsOk(reply) && connection->IsOpen();
 }
 
-void LogAttempt(const AttemptOrder& order, const AttemptResult& result) {
+void LogAttempt(const AttemptSpec& spec, const AttemptResult& result) {
   Log(Part::kBackend)
       .debug(
           "attempt {} at server {} for shard {} ended with {} after {:.1f} ms",
-          order.attempt.value, order.server.text, order.job.shard.text,
+          spec.attempt.value, spec.server.text, spec.job.shard.text,
           CodeName(result.report.code), result.report.latency.count);
 }
 
--- a/packages/dispatch/src/attempt_runner.h
+++ b/packages/dispatch/src/attempt_runner.h
@@ -25,7 +25,7 @@
 // Sends the attempt's request and validates the reply. Blocks until the
 // deadline at most, unless the server sends its reply in small pieces; Abort on
 // the connection ends that.
-AttemptResult SendAttempt(const AttemptOrder& order, const std::string& wire_id,
+AttemptResult SendAttempt(const AttemptSpec& spec, const std::string& wire_id,
                           const std::shared_ptr<http::Connection>& connection);
 
 struct CancelReply {
@@ -40,9 +40,9 @@
 
 // Opens the connection with a health request, which is cheap for the server.
 // The reply is ignored.
-bool WarmUp(const std::shared_ptr<http::Connection>& connection,
-            Millis timeout);
+bool OpenConnection(const std::shared_ptr<http::Connection>& connection,
+                    Millis timeout);
 
-void LogAttempt(const AttemptOrder& order, const AttemptResult& result);
+void LogAttempt(const AttemptSpec& spec, const AttemptResult& result);
 
 }  // namespace hibiscuspick::dispatch
--- a/packages/dispatch/src/connection_pool.cc
+++ b/packages/dispatch/src/connection_pool.cc
@@ -42,14 +42,14 @@
   return Make();
 }
 
-std::shared_ptr<http::Connection> ConnectionPool::TakeSpare() {
+std::shared_ptr<http::Connection> ConnectionPool::TakeForCancel() {
   const std::lock_guard lock(mutex_);
   auto connection = PopIdle();
   if (connection) return connection;
   return open_ < share_ ? Make() : nullptr;
 }
 
-std::shared_ptr<http::Connection> ConnectionPool::TakeToWarm() {
+std::shared_ptr<http::Connection> ConnectionPool::TakeForPreconnect() {
   const std::lock_guard lock(mutex_);
   return open_ < share_ ? Make() : nullptr;
 }
--- a/packages/dispatch/src/connection_pool.h
+++ b/packages/dispatch/src/connection_pool.h
@@ -42,11 +42,11 @@
   std::shared_ptr<http::Connection> TakeFresh();
 
   // Returns a connection for a cancel, or null if the share is used up.
-  std::shared_ptr<http::Connection> TakeSpare();
+  std::shared_ptr<http::Connection> TakeForCancel();
 
   // Returns a new connection to open in advance, or null if the share is used
   // up.
-  std::shared_ptr<http::Connection> TakeToWarm();
+  std::shared_ptr<http::Connection> TakeForPreconnect();
 
   // Returns a connection to the pool after a complete reply.
   void Return(std::shared_ptr<http::Connection> connection);
--- a/packages/dispatch/src/executor_group.cc
+++ b/packages/dispatch/src/executor_group.cc
@@ -10,7 +10,7 @@
 constexpr int kGroupShift = 40;
 
 // Interval of repeated aborts, for requests that had not begun at the first.
-constexpr Millis kAbortAgain{20};
+constexpr Millis kAbortRetryInterval{20};
 
 FinishedJob Cancelled(Job job) {
   FinishedJob finished;
@@ -27,7 +27,7 @@
   metrics.in_flight = server.in_flight;
   metrics.abandoned = server.abandoned;
   metrics.ejected = server.ejected;
-  metrics.draining = !limits::TakesNewWork(server, SteadyNow());
+  metrics.draining = !limits::AcceptsNewWork(server, SteadyNow());
   metrics.latency = server.latency;
   metrics.held = server.held;
   return metrics;
@@ -49,7 +49,7 @@
 void ExecutorGroup::Handle(Effects* effects, Event event) {
   limits::Actions actions;
   event(SteadyNow(), &actions);
-  Gather(std::move(actions), effects);
+  Collect(std::move(actions), effects);
   effects->due = limits::NextDue(state_);
 }
 
@@ -95,13 +95,14 @@
   return effects;
 }
 
-Effects ExecutorGroup::TakeNews(const BackendServerId& server,
-                                Incarnation incarnation, bool draining) {
+Effects ExecutorGroup::ApplyDrainReport(const BackendServerId& server,
+                                        Incarnation incarnation,
+                                        bool draining) {
   const std::lock_guard lock(mutex_);
   Effects effects;
   Handle(&effects, [&](Millis now, limits::Actions* actions) {
-    limits::TakeServerNews(&state_, server, incarnation, draining, now,
-                           &random_, actions);
+    limits::ApplyDrainReport(&state_, server, incarnation, draining, now,
+                             &random_, actions);
   });
   return effects;
 }
@@ -195,7 +196,7 @@
     }
   }
   for (const auto& it : overdue) it->Abort();
-  return overdue.empty() ? again : Min(again, now + kAbortAgain);
+  return overdue.empty() ? again : Min(again, now + kAbortRetryInterval);
 }
 
 bool ExecutorGroup::AbortRunning() {
@@ -227,7 +228,7 @@
   metrics.service = service_;
   metrics.counters = state_.counters;
   metrics.slots_in_use = limits::SlotsInUse(state_);
-  metrics.waiting = limits::Waiting(state_.queues);
+  metrics.waiting = limits::CountWaiting(state_.queues);
   for (const auto& it : state_.servers) {
     if (it.removed) continue;
     metrics.servers.push_back(ServerMetricsOf(it));
@@ -239,14 +240,14 @@
   return metrics;
 }
 
-void ExecutorGroup::Gather(limits::Actions actions, Effects* effects) {
+void ExecutorGroup::Collect(limits::Actions actions, Effects* effects) {
   for (auto& action : actions) {
-    std::visit([&](auto& it) { GatherOne(it, effects); }, action);
+    std::visit([&](auto& it) { CollectOne(it, effects); }, action);
   }
 }
 
-void ExecutorGroup::GatherOne(const limits::StartAttempt& start,
-                              Effects* effects) {
+void ExecutorGroup::CollectOne(const limits::StartAttempt& start,
+                               Effects* effects) {
   // The attempt was started and abandoned by the same event; MayStart would
   // refuse it.
   const auto job = jobs_.find(start.task);
@@ -256,13 +257,13 @@
                              start.deadline, pools_[start.server]});
 }
 
-void ExecutorGroup::GatherOne(const limits::PrepareConnection& prepare,
-                              Effects* effects) {
-  effects->prepare.push_back(pools_[prepare.server]);
+void ExecutorGroup::CollectOne(const limits::Preconnect& preconnect,
+                               Effects* effects) {
+  effects->preconnects.push_back(pools_[preconnect.server]);
 }
 
-void ExecutorGroup::GatherOne(const limits::Decision& decision,
-                              Effects* effects) {
+void ExecutorGroup::CollectOne(const limits::Decision& decision,
+                               Effects* effects) {
   if (!IsLogged(decision)) return;
   LoggedDecision logged;
   logged.decision = decision;
@@ -274,7 +275,7 @@
   effects->decisions.push_back(std::move(logged));
 }
 
-void ExecutorGroup::GatherOne(const limits::TaskDone& done, Effects* effects) {
+void ExecutorGroup::CollectOne(const limits::TaskDone& done, Effects* effects) {
   const auto it = jobs_.find(done.task);
   if (it == jobs_.end()) return;
   FinishedJob finished;
@@ -291,8 +292,8 @@
   effects->finished.push_back(std::move(finished));
 }
 
-void ExecutorGroup::GatherOne(const limits::CancelAttempt& cancel,
-                              Effects* effects) {
+void ExecutorGroup::CollectOne(const limits::CancelAttempt& cancel,
+                               Effects* effects) {
   effects->cancels.push_back({cancel.attempt, pools_[cancel.server]});
   const auto it = running_.find(cancel.attempt);
   if (it == running_.end()) return;
--- a/packages/dispatch/src/executor_group.h
+++ b/packages/dispatch/src/executor_group.h
@@ -20,7 +20,7 @@
 namespace hibiscuspick::dispatch {
 
 // An attempt for a worker to run.
-struct AttemptOrder {
+struct AttemptSpec {
   AttemptId attempt;
   Job job;
   BackendServerId server;
@@ -29,7 +29,7 @@
 };
 
 // A cancel request for a worker to send.
-struct CancelOrder {
+struct CancelSpec {
   AttemptId attempt;
   std::shared_ptr<ConnectionPool> pool;
 };
@@ -44,10 +44,10 @@
 
 // The I/O that an event requires, performed without the lock.
 struct Effects {
-  std::vector<AttemptOrder> starts;
-  std::vector<CancelOrder> cancels;
+  std::vector<AttemptSpec> starts;
+  std::vector<CancelSpec> cancels;
   std::vector<std::shared_ptr<http::Connection>> aborts;
-  std::vector<std::shared_ptr<ConnectionPool>> prepare;
+  std::vector<std::shared_ptr<ConnectionPool>> preconnects;
   std::vector<FinishedJob> finished;
   std::vector<LoggedDecision> decisions;
   Millis due = kNever;
@@ -73,8 +73,8 @@
   Effects Retire();
   Effects Add(std::vector<std::pair<limits::NewTask, Job>> tasks);
   Effects Cancel(const std::vector<TaskId>& tasks);
-  Effects TakeNews(const BackendServerId& server, Incarnation incarnation,
-                   bool draining);
+  Effects ApplyDrainReport(const BackendServerId& server,
+                           Incarnation incarnation, bool draining);
   Effects Tick();
   Effects ConfirmCancel(AttemptId attempt);
 
@@ -121,12 +121,12 @@
   // the lock.
   template <class Event>
   void Handle(Effects* effects, Event event);
-  void Gather(limits::Actions actions, Effects* effects);
-  void GatherOne(const limits::StartAttempt& start, Effects* effects);
-  void GatherOne(const limits::TaskDone& done, Effects* effects);
-  void GatherOne(const limits::CancelAttempt& cancel, Effects* effects);
-  void GatherOne(const limits::PrepareConnection& prepare, Effects* effects);
-  void GatherOne(const limits::Decision& decision, Effects* effects);
+  void Collect(limits::Actions actions, Effects* effects);
+  void CollectOne(const limits::StartAttempt& start, Effects* effects);
+  void CollectOne(const limits::TaskDone& done, Effects* effects);
+  void CollectOne(const limits::CancelAttempt& cancel, Effects* effects);
+  void CollectOne(const limits::Preconnect& preconnect, Effects* effects);
+  void CollectOne(const limits::Decision& decision, Effects* effects);
   // Creates a pool for each server that has none or whose address has changed.
   void MakePools();
 
--- a/packages/dispatch/src/timers.cc
+++ b/packages/dispatch/src/group_timers.cc
@@ -1,4 +1,4 @@
-#include "timers.h"
+#include "group_timers.h"
 
 namespace hibiscuspick::dispatch {
 
@@ -7,7 +7,7 @@
 
 GroupTimers::~GroupTimers() { Stop(); }
 
-void GroupTimers::WakeBy(const GroupPtr& group, Millis due) {
+void GroupTimers::TickBy(const GroupPtr& group, Millis due) {
   if (due == kNever) return;
   const std::lock_guard lock(mutex_);
   const auto it = due_.find(group);
--- a/packages/dispatch/src/timers.h
+++ b/packages/dispatch/src/group_timers.h
@@ -28,7 +28,7 @@
   ~GroupTimers();
 
   // Ensures that the group is ticked at `due` or earlier.
-  void WakeBy(const GroupPtr& group, Millis due);
+  void TickBy(const GroupPtr& group, Millis due);
 
   // Stops and joins the thread.
   void Stop();
--- a/packages/dispatch/src/part_executor.cc
+++ b/packages/dispatch/src/part_executor.cc
@@ -12,8 +12,8 @@
 #include "attempt_runner.h"
 #include "decision_log.h"
 #include "executor_group.h"
+#include "group_timers.h"
 #include "hibiscuspick/http/connection_threads.h"
-#include "timers.h"
 
 namespace hibiscuspick::dispatch {
 namespace {
@@ -46,17 +46,17 @@
 
 class PartExecutor::Impl {
  public:
-  Impl(ExecutorOptions options, OnServerNews on_server_news)
+  Impl(ExecutorOptions options, OnDrainReport on_drain_report)
       : options_(std::move(options)),
-        on_server_news_(std::move(on_server_news)),
+        on_drain_report_(std::move(on_drain_report)),
         workers_(options_.max_workers),
-        timers_([this](const GroupPtr& group) { return OnDue(group); }) {}
+        timers_([this](const GroupPtr& group) { return OnTimer(group); }) {}
 
   void Apply(const std::vector<GroupConfig>& configs);
   void Run(const limits::PartRequest& part, OnOutcomes on_outcomes);
   void Cancel(const limits::PartOrigin& origin);
-  void TakeServerNews(const BackendServerId& server, Incarnation incarnation,
-                      bool draining);
+  void ApplyDrainReport(const BackendServerId& server, Incarnation incarnation,
+                        bool draining);
   RecordOutcome RunRecord(const RecordRequest& record);
   size_t InFlight() const { return in_flight_; }
   ExecutorMetrics Metrics();
@@ -75,7 +75,7 @@
   GroupPtr MakeGroup(const ServiceId& service);
   // Groups a part's shards by service. Returns failed outcomes for shards of
   // unknown services.
-  std::vector<limits::ShardOutcome> SortShards(
+  std::vector<limits::ShardOutcome> GroupByService(
       const limits::PartRequest& part, const std::shared_ptr<PartRun>& run,
       TasksByGroup* tasks);
 
@@ -83,17 +83,17 @@
   void Enqueue(std::function<void()> job);
 
   // Performs the effects of an event. No lock may be held.
-  void CarryOut(const GroupPtr& group, Effects effects);
-  void GiveOut(std::vector<FinishedJob> finished);
-  void GiveToPart(const std::shared_ptr<PartRun>& part,
-                  std::vector<limits::ShardOutcome> outcomes);
-  Millis OnDue(const GroupPtr& group);
+  void Perform(const GroupPtr& group, Effects effects);
+  void Deliver(std::vector<FinishedJob> finished);
+  void DeliverToPart(const std::shared_ptr<PartRun>& part,
+                     std::vector<limits::ShardOutcome> outcomes);
+  Millis OnTimer(const GroupPtr& group);
 
   // These run on worker threads.
-  void RunAttempt(const GroupPtr& group, const AttemptOrder& order);
-  void SendCancel(const GroupPtr& group, const CancelOrder& order);
-  void Prepare(const GroupPtr& group,
-               const std::shared_ptr<ConnectionPool>& pool);
+  void RunAttempt(const GroupPtr& group, const AttemptSpec& spec);
+  void SendCancel(const GroupPtr& group, const CancelSpec& spec);
+  void Preconnect(const GroupPtr& group,
+                  const std::shared_ptr<ConnectionPool>& pool);
   void BeginControl(const GroupPtr& group,
                     const std::shared_ptr<http::Connection>& connection);
 
@@ -102,7 +102,7 @@
   }
 
   const ExecutorOptions options_;
-  const OnServerNews on_server_news_;
+  const OnDrainReport on_drain_report_;
   ConnectionCounters connections_;
   std::atomic<uint64_t> cancels_sent_{0};
   std::atomic<uint64_t> cancels_confirmed_{0};
@@ -130,7 +130,7 @@
   for (const auto& it : configs) {
     named.insert(it.service.id);
     const GroupPtr group = MakeGroup(it.service.id);
-    CarryOut(group, group->Apply(it));
+    Perform(group, group->Apply(it));
   }
   std::vector<GroupPtr> gone;
   {
@@ -142,7 +142,7 @@
     std::erase_if(retired_, [](auto& it) { return it->IsIdle(); });
     retired_.insert(retired_.end(), gone.begin(), gone.end());
   }
-  for (const auto& it : gone) CarryOut(it, it->Retire());
+  for (const auto& it : gone) Perform(it, it->Retire());
 }
 
 void PartExecutor::Impl::Run(const limits::PartRequest& part,
@@ -157,7 +157,7 @@
   run->outstanding = part.shards.size();
   ++in_flight_;
   TasksByGroup tasks;
-  auto unknown = SortShards(part, run, &tasks);
+  auto unknown = GroupByService(part, run, &tasks);
   {
     const std::lock_guard lock(parts_mutex_);
     auto& entry = parts_[part.origin];
@@ -167,13 +167,13 @@
       }
     }
   }
-  if (!unknown.empty()) GiveToPart(run, std::move(unknown));
+  if (!unknown.empty()) DeliverToPart(run, std::move(unknown));
   for (auto& it : tasks) {
-    CarryOut(it.first, it.first->Add(std::move(it.second)));
+    Perform(it.first, it.first->Add(std::move(it.second)));
   }
 }
 
-std::vector<limits::ShardOutcome> PartExecutor::Impl::SortShards(
+std::vector<limits::ShardOutcome> PartExecutor::Impl::GroupByService(
     const limits::PartRequest& part, const std::shared_ptr<PartRun>& run,
     TasksByGroup* tasks) {
   std::vector<limits::ShardOutcome> unknown;
@@ -212,15 +212,15 @@
     parts_.erase(it);
   }
   --in_flight_;
-  for (const auto& it : tasks) CarryOut(it.first, it.first->Cancel(it.second));
+  for (const auto& it : tasks) Perform(it.first, it.first->Cancel(it.second));
 }
 
-void PartExecutor::Impl::TakeServerNews(const BackendServerId& server,
-                                        Incarnation incarnation,
-                                        bool draining) {
+void PartExecutor::Impl::ApplyDrainReport(const BackendServerId& server,
+                                          Incarnation incarnation,
+                                          bool draining) {
   for (const auto& it : AllGroups()) {
     if (!it->HasServer(server)) continue;
-    CarryOut(it, it->TakeNews(server, incarnation, draining));
+    Perform(it, it->ApplyDrainReport(server, incarnation, draining));
   }
 }
 
@@ -246,7 +246,7 @@
   ++in_flight_;
   std::vector<std::pair<limits::NewTask, Job>> tasks;
   tasks.emplace_back(std::move(task), std::move(job));
-  CarryOut(group, group->Add(std::move(tasks)));
+  Perform(group, group->Add(std::move(tasks)));
   return future.get();
 }
 
@@ -273,8 +273,8 @@
   for (const auto& it : groups) {
     Effects effects;
     auto finished = it->CancelAll(&effects);
-    CarryOut(it, std::move(effects));
-    GiveOut(std::move(finished));
+    Perform(it, std::move(effects));
+    Deliver(std::move(finished));
   }
   timers_.Stop();
   for (const auto& it : groups) {
@@ -313,27 +313,27 @@
   if (!stopped_) workers_.enqueue(std::move(job));
 }
 
-void PartExecutor::Impl::CarryOut(const GroupPtr& group, Effects effects) {
-  timers_.WakeBy(group, effects.due);
+void PartExecutor::Impl::Perform(const GroupPtr& group, Effects effects) {
+  timers_.TickBy(group, effects.due);
   for (auto& it : effects.starts) {
-    Enqueue([this, group, order = std::move(it)] { RunAttempt(group, order); });
+    Enqueue([this, group, spec = std::move(it)] { RunAttempt(group, spec); });
   }
   for (const auto& it : effects.decisions) {
     LogDecision(group->service(), it);
   }
-  GiveOut(std::move(effects.finished));
+  Deliver(std::move(effects.finished));
   if (!effects.aborts.empty()) {
-    timers_.WakeBy(group, group->AbortOverdue(SteadyNow()));
+    timers_.TickBy(group, group->AbortOverdue(SteadyNow()));
   }
   for (const auto& it : effects.cancels) {
     Enqueue([this, group, it] { SendCancel(group, it); });
   }
-  for (const auto& it : effects.prepare) {
-    Enqueue([this, group, it] { Prepare(group, it); });
+  for (const auto& it : effects.preconnects) {
+    Enqueue([this, group, it] { Preconnect(group, it); });
   }
 }
 
-void PartExecutor::Impl::GiveOut(std::vector<FinishedJob> finished) {
+void PartExecutor::Impl::Deliver(std::vector<FinishedJob> finished) {
   // One callback per part, since an event often finishes several of its shards.
   std::map<std::shared_ptr<PartRun>, std::vector<limits::ShardOutcome>> parts;
   for (auto& it : finished) {
@@ -345,10 +345,10 @@
     --in_flight_;
     record->outcome.set_value(ToRecordOutcome(std::move(it)));
   }
-  for (auto& it : parts) GiveToPart(it.first, std::move(it.second));
+  for (auto& it : parts) DeliverToPart(it.first, std::move(it.second));
 }
 
-void PartExecutor::Impl::GiveToPart(
+void PartExecutor::Impl::DeliverToPart(
     const std::shared_ptr<PartRun>& part,
     std::vector<limits::ShardOutcome> outcomes) {
   const size_t n = outcomes.size();
@@ -360,59 +360,59 @@
   if (parts_.erase(part->origin) > 0) --in_flight_;
 }
 
-Millis PartExecutor::Impl::OnDue(const GroupPtr& group) {
+Millis PartExecutor::Impl::OnTimer(const GroupPtr& group) {
   Effects effects = group->Tick();
   const Millis due = effects.due;
-  CarryOut(group, std::move(effects));
+  Perform(group, std::move(effects));
   return Min(due, group->AbortOverdue(SteadyNow()));
 }
 
 void PartExecutor::Impl::RunAttempt(const GroupPtr& group,
-                                    const AttemptOrder& order) {
+                                    const AttemptSpec& spec) {
   const auto connection =
-      order.job.record ? order.pool->TakeFresh() : order.pool->Take();
+      spec.job.record ? spec.pool->TakeFresh() : spec.pool->Take();
   Effects effects;
-  const bool may_start = group->MayStart(order.attempt, connection, &effects);
-  CarryOut(group, std::move(effects));
+  const bool may_start = group->MayStart(spec.attempt, connection, &effects);
+  Perform(group, std::move(effects));
   if (!may_start) {
-    order.pool->Return(connection);
+    spec.pool->Return(connection);
     return;
   }
-  AttemptResult result = SendAttempt(order, WireId(order.attempt), connection);
+  AttemptResult result = SendAttempt(spec, WireId(spec.attempt), connection);
   if (result.reusable) {
-    order.pool->Return(connection);
+    spec.pool->Return(connection);
   } else {
-    order.pool->Discard(connection);
+    spec.pool->Discard(connection);
   }
   const auto& report = result.report;
   // Reported before the outcome, so that a caller acting on the outcome already
   // has this state.
   if (report.draining || report.incarnation.value != 0) {
-    if (on_server_news_) {
-      on_server_news_(order.server, report.incarnation, report.draining);
+    if (on_drain_report_) {
+      on_drain_report_(spec.server, report.incarnation, report.draining);
     }
   }
-  LogAttempt(order, result);
-  CarryOut(group, group->Finish(report, std::move(result.content)));
+  LogAttempt(spec, result);
+  Perform(group, group->Finish(report, std::move(result.content)));
 }
 
 void PartExecutor::Impl::SendCancel(const GroupPtr& group,
-                                    const CancelOrder& order) {
-  const auto connection = order.pool->TakeSpare();
+                                    const CancelSpec& spec) {
+  const auto connection = spec.pool->TakeForCancel();
   if (!connection) return;
   ++cancels_sent_;
   BeginControl(group, connection);
-  const CancelReply reply = SendCancelRequest(WireId(order.attempt), connection,
+  const CancelReply reply = SendCancelRequest(WireId(spec.attempt), connection,
                                               options_.control_timeout);
   group->EndControl(connection);
   if (reply.reusable) {
-    order.pool->Return(connection);
+    spec.pool->Return(connection);
   } else {
-    order.pool->Discard(connection);
+    spec.pool->Discard(connection);
   }
   if (!reply.confirmed) return;
   ++cancels_confirmed_;
-  CarryOut(group, group->ConfirmCancel(order.attempt));
+  Perform(group, group->ConfirmCancel(spec.attempt));
 }
 
 void PartExecutor::Impl::BeginControl(
@@ -420,26 +420,27 @@
     const std::shared_ptr<http::Connection>& connection) {
   const Millis until = SteadyNow() + options_.control_timeout;
   group->BeginControl(connection, until);
-  timers_.WakeBy(group, until);
+  timers_.TickBy(group, until);
 }
 
-void PartExecutor::Impl::Prepare(const GroupPtr& group,
-                                 const std::shared_ptr<ConnectionPool>& pool) {
-  const auto connection = pool->TakeToWarm();
+void PartExecutor::Impl::Preconnect(
+    const GroupPtr& group, const std::shared_ptr<ConnectionPool>& pool) {
+  const auto connection = pool->TakeForPreconnect();
   if (!connection) return;
   BeginControl(group, connection);
-  const bool warm = WarmUp(connection, options_.control_timeout);
+  const bool is_open = OpenConnection(connection, options_.control_timeout);
   group->EndControl(connection);
-  if (warm) {
+  if (is_open) {
     pool->Return(connection);
   } else {
     pool->Discard(connection);
   }
 }
 
-PartExecutor::PartExecutor(ExecutorOptions options, OnServerNews on_server_news)
+PartExecutor::PartExecutor(ExecutorOptions options,
+                           OnDrainReport on_drain_report)
     : impl_(std::make_unique<Impl>(std::move(options),
-                                   std::move(on_server_news))) {}
+                                   std::move(on_drain_report))) {}
 
 PartExecutor::~PartExecutor() { Stop(); }
 
@@ -456,9 +457,9 @@
   impl_->Cancel(origin);
 }
 
-void PartExecutor::TakeServerNews(const BackendServerId& server,
-                                  Incarnation incarnation, bool draining) {
-  impl_->TakeServerNews(server, incarnation, draining);
+void PartExecutor::ApplyDrainReport(const BackendServerId& server,
+                                    Incarnation incarnation, bool draining) {
+  impl_->ApplyDrainReport(server, incarnation, draining);
 }
 
 RecordOutcome PartExecutor::RunRecord(const RecordRequest& record) {
--- a/packages/dispatch/src/reply_check.cc
+++ b/packages/dispatch/src/reply_check.cc
@@ -13,7 +13,7 @@
 constexpr int kConflictStatus = 409;
 constexpr int kUnavailableStatus = 503;
 // Maximum versions a server may list; a longer list is a bad reply.
-constexpr size_t kMaxHeld = 64;
+constexpr size_t kMaxHeldVersions = 64;
 
 Incarnation ReadIncarnation(const http::Reply& reply) {
   const std::string text = http::HeaderOf(reply, "X-Server-Incarnation");
@@ -80,7 +80,7 @@
   if (!IsOk(parsed) || !ValueOf(parsed).is_object()) return std::nullopt;
   const auto held = ValueOf(parsed).find("held");
   if (held == ValueOf(parsed).end() || !held->is_array()) return std::nullopt;
-  if (held->size() > kMaxHeld) return std::nullopt;
+  if (held->size() > kMaxHeldVersions) return std::nullopt;
   std::vector<IndexVersion> versions;
   for (const Json& it : *held) {
     if (!it.is_number_unsigned()) return std::nullopt;
--- a/packages/dispatch/tests/bad_replies_test.cc
+++ b/packages/dispatch/tests/bad_replies_test.cc
@@ -19,7 +19,7 @@
 // A valid HTTP reply that is not a valid answer to the attempt.
 struct ReplyRow {
   const char* name;
-  std::function<void(httplib::Response&)> spoil;
+  std::function<void(httplib::Response&)> modify;
   Code code;
 };
 
@@ -93,13 +93,13 @@
   }
 }
 
-void SendForEver(int sock) {
+void SendEndlessly(int sock) {
   const std::string chunk = "1000\r\n" + std::string(4096, 'x') + "\r\n";
   while (::send(sock, chunk.data(), chunk.size(), MSG_NOSIGNAL) > 0) {
   }
 }
 
-void TrickleForEver(int sock) {
+void TrickleEndlessly(int sock) {
   while (::send(sock, "X", 1, MSG_NOSIGNAL) > 0) {
     std::this_thread::sleep_for(Millis(10).ToMicros());
   }
@@ -114,13 +114,13 @@
      std::string(kHead) + "Content-Length: 500\r\n\r\n{\"hits\": [", nullptr,
      Code::kReadFailed},
     {"endless body", std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n",
-     SendForEver, Code::kReplyTooLarge},
+     SendEndlessly, Code::kReplyTooLarge},
     {"silent", "", HoldOpen, Code::kDeadlineExceeded},
-    {"endless headers", std::string(kHead), TrickleForEver,
+    {"endless headers", std::string(kHead), TrickleEndlessly,
      Code::kDeadlineExceeded},
 };
 
-constexpr Millis kShort{250};
+constexpr Millis kShortDeadline{250};
 
 limits::GroupPolicy OneAttempt() {
   limits::GroupPolicy policy;
@@ -132,10 +132,10 @@
 
 // A backend server's reply is not a complete reply to the attempt. Its hits
 // must not enter an answer; the shard fails with a code that tells why.
-BOOST_DATA_TEST_CASE(a_wrong_reply_is_never_an_answer, bdata::make(kReplies),
+BOOST_DATA_TEST_CASE(a_bad_reply_is_never_an_answer, bdata::make(kReplies),
                      row) {
   FakeBackend b1("b1");
-  b1.on_query = [&](const auto&, auto& response) { row.spoil(response); };
+  b1.on_query = [&](const auto&, auto& response) { row.modify(response); };
   b1.Start();
   const auto config = MakeGroupConfig({b1.Config()}, OneAttempt());
   PartExecutor executor(TestOptions(), nullptr);
@@ -153,7 +153,7 @@
 // answered by the good one.
 BOOST_DATA_TEST_CASE(the_other_replica_answers, bdata::make(kReplies), row) {
   FakeBackend b1("b1");
-  b1.on_query = [&](const auto&, auto& response) { row.spoil(response); };
+  b1.on_query = [&](const auto&, auto& response) { row.modify(response); };
   FakeBackend b2("b2");
   b1.Start();
   b2.Start();
@@ -168,7 +168,7 @@
     BOOST_TEST(outcomes.Of(shard).hits.size() == 1u);
   }
   executor.Stop();
-  BOOST_TEST(outcomes.MostTimes() == 1);
+  BOOST_TEST(outcomes.MaxDeliveries() == 1);
   BOOST_TEST(!b1.SawAttemptTwice());
 }
 
@@ -181,13 +181,13 @@
   PartExecutor executor(TestOptions(), nullptr);
   executor.Apply({config});
   Outcomes outcomes;
-  executor.Run(MakePart(config, 1, kShort), outcomes.Sink());
+  executor.Run(MakePart(config, 1, kShortDeadline), outcomes.Sink());
   BOOST_REQUIRE(outcomes.WaitFor(1));
   const auto outcome = outcomes.Of("p0");
   BOOST_TEST(CodeName(outcome.code) == CodeName(row.code));
   BOOST_TEST((outcome.ran == Ran::kMaybe));
   executor.Stop();
-  BOOST_TEST(outcomes.MostTimes() == 1);
+  BOOST_TEST(outcomes.MaxDeliveries() == 1);
 }
 
 }  // namespace hibiscuspick::dispatch
--- a/packages/dispatch/tests/executor_fixture.h
+++ b/packages/dispatch/tests/executor_fixture.h
@@ -14,7 +14,7 @@
 namespace hibiscuspick::dispatch {
 
 // A timeout only reached by a hang.
-inline constexpr Millis kHangGuard{30000};
+inline constexpr Millis kHangTimeout{30000};
 
 inline ExecutorOptions TestOptions() {
   ExecutorOptions options;
@@ -31,7 +31,7 @@
     return [this](std::vector<limits::ShardOutcome> outcomes) {
       const std::lock_guard lock(mutex_);
       for (auto& it : outcomes) {
-        ++times_[it.shard.text];
+        ++deliveries_[it.shard.text];
         by_shard_[it.shard.text] = std::move(it);
       }
       changed_.notify_all();
@@ -41,7 +41,7 @@
   // Waits until `n` shards have an outcome; false on a timeout.
   bool WaitFor(size_t n) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kHangGuard.ToMicros(),
+    return changed_.wait_for(lock, kHangTimeout.ToMicros(),
                              [&] { return by_shard_.size() >= n; });
   }
   limits::ShardOutcome Of(const std::string& shard) {
@@ -49,10 +49,10 @@
     return by_shard_[shard];
   }
   // The maximum number of outcomes delivered for one shard.
-  int MostTimes() {
+  int MaxDeliveries() {
     const std::lock_guard lock(mutex_);
     int most = 0;
-    for (const auto& it : times_) most = std::max(most, it.second);
+    for (const auto& it : deliveries_) most = std::max(most, it.second);
     return most;
   }
   size_t Count() {
@@ -64,7 +64,7 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::map<std::string, limits::ShardOutcome> by_shard_;
-  std::map<std::string, int> times_;
+  std::map<std::string, int> deliveries_;
 };
 
 inline GroupConfig MakeGroupConfig(std::vector<settings::BackendServer> servers,
@@ -74,7 +74,7 @@
 
 // A part of `n` shards p0, p1, … that every configured server holds.
 inline limits::PartRequest MakePart(const GroupConfig& config, int n,
-                                    Millis time_left = kHangGuard) {
+                                    Millis time_left = kHangTimeout) {
   limits::PartRequest part;
   part.origin = {InstanceId("osl-1-b"), Incarnation(2), PartId(9)};
   part.lane = Lane::kUrgent;
@@ -94,7 +94,7 @@
 }
 
 inline RecordRequest MakeRecord(const GroupConfig& config,
-                                Millis time_left = kHangGuard) {
+                                Millis time_left = kHangTimeout) {
   RecordRequest record;
   record.service = config.service.id;
   record.shard = ShardId("p0");
--- a/packages/dispatch/tests/failures_test.cc
+++ b/packages/dispatch/tests/failures_test.cc
@@ -33,10 +33,10 @@
 
 // A deadline long enough for the request to reach the server even on a busy
 // machine; the tests are about what happens afterwards.
-constexpr Millis kSeenByThen{1500};
+constexpr Millis kArrivalDeadline{1500};
 
 // A server whose address nothing listens on.
-settings::BackendServer LostServer(const std::string& id) {
+settings::BackendServer UnreachableServer(const std::string& id) {
   FakeBackend gone(id);
   gone.Start();
   auto config = gone.Config();
@@ -67,10 +67,10 @@
   const auto config = MakeGroupConfig({b1.Config()});
   PartExecutor executor(TestOptions(), nullptr);
   executor.Apply({config});
-  Outcomes late;
-  executor.Run(MakePart(config, 1, kSeenByThen), late.Sink());
-  BOOST_REQUIRE(late.WaitFor(1));
-  BOOST_TEST((late.Of("p0").code == Code::kDeadlineExceeded));
+  Outcomes late_outcomes;
+  executor.Run(MakePart(config, 1, kArrivalDeadline), late_outcomes.Sink());
+  BOOST_REQUIRE(late_outcomes.WaitFor(1));
+  BOOST_TEST((late_outcomes.Of("p0").code == Code::kDeadlineExceeded));
   gate.Open();
   Outcomes next;
   auto part = MakePart(config, 1);
@@ -112,8 +112,9 @@
 
 // Nothing listens on the addresses of all replicas. The shards fail with
 // kConnectFailed, and `ran` is kNo.
-BOOST_AUTO_TEST_CASE(all_replicas_lost) {
-  const auto config = MakeGroupConfig({LostServer("b1"), LostServer("b2")});
+BOOST_AUTO_TEST_CASE(unreachable_replicas_fail_without_running) {
+  const auto config =
+      MakeGroupConfig({UnreachableServer("b1"), UnreachableServer("b2")});
   PartExecutor executor(TestOptions(), nullptr);
   executor.Apply({config});
   Outcomes outcomes;
@@ -126,10 +127,10 @@
 }
 
 // One of two replicas refuses connections. Every shard is still answered.
-BOOST_AUTO_TEST_CASE(one_replica_lost) {
+BOOST_AUTO_TEST_CASE(one_unreachable_replica_is_replaced) {
   FakeBackend b2("b2");
   b2.Start();
-  const auto config = MakeGroupConfig({LostServer("b1"), b2.Config()});
+  const auto config = MakeGroupConfig({UnreachableServer("b1"), b2.Config()});
   PartExecutor executor(TestOptions(), nullptr);
   executor.Apply({config});
   Outcomes outcomes;
@@ -161,7 +162,7 @@
   b1.Start();
   b2.Start();
   limits::GroupPolicy policy;
-  policy.hedge.cold = Millis(20);
+  policy.hedge.default_delay = Millis(20);
   const auto config = MakeGroupConfig({b1.Config(), b2.Config()}, policy);
   PartExecutor executor(TestOptions(), nullptr);
   executor.Apply({config});
@@ -181,7 +182,7 @@
 
 // A server reports a drain in a reply. It finishes its attempts and gets no new
 // ones, and the report is passed on.
-BOOST_AUTO_TEST_CASE(a_draining_server_gets_nothing_new) {
+BOOST_AUTO_TEST_CASE(a_draining_server_gets_no_new_attempts) {
   FakeBackend b1("b1");
   FakeBackend b2("b2");
   b1.on_query = [](const auto&, auto& response) {
@@ -191,12 +192,12 @@
   b1.Start();
   b2.Start();
   std::mutex mutex;
-  std::set<std::pair<std::string, uint64_t>> news;
+  std::set<std::pair<std::string, uint64_t>> reports;
   PartExecutor executor(
       TestOptions(),
       [&](const auto& server, Incarnation incarnation, bool draining) {
         const std::lock_guard lock(mutex);
-        if (draining) news.insert({server.text, incarnation.value});
+        if (draining) reports.insert({server.text, incarnation.value});
       });
   const auto config = MakeGroupConfig({b1.Config(1), b2.Config(1)});
   executor.Apply({config});
@@ -208,12 +209,12 @@
   executor.Stop();
   const std::lock_guard lock(mutex);
   const std::set<std::pair<std::string, uint64_t>> expected = {{"b1", 12}};
-  BOOST_TEST((news == expected));
+  BOOST_TEST((reports == expected));
 }
 
 // The instance stops while a query runs. The part still gets its outcomes, once
 // each, and Stop does not wait for the backend server.
-BOOST_AUTO_TEST_CASE(stop_gives_every_outcome_once) {
+BOOST_AUTO_TEST_CASE(stop_delivers_every_outcome_once) {
   Gate gate;
   FakeBackend b1("b1");
   b1.on_query = [&](const auto&, auto&) { gate.Wait(); };
@@ -226,7 +227,7 @@
   while (b1.attempts().empty()) std::this_thread::yield();
   executor.Stop();
   BOOST_TEST(outcomes.Count() == 5u);
-  BOOST_TEST(outcomes.MostTimes() == 1);
+  BOOST_TEST(outcomes.MaxDeliveries() == 1);
   BOOST_TEST((outcomes.Of("p4").code == Code::kCancelled));
   gate.Open();
 }
--- a/packages/dispatch/tests/fake_backend.h
+++ b/packages/dispatch/tests/fake_backend.h
@@ -30,13 +30,13 @@
   explicit FakeBackend(std::string id) : id_(std::move(id)), server_({}) {
     server_.Post(R"(/v1/shards/([^/]+)/query)",
                  [this](const auto& request, auto& response) {
-                   Note(request);
+                   RecordAttempt(request);
                    Answer(request, response);
                    if (on_query) on_query(request, response);
                  });
     server_.Post(R"(/v1/shards/([^/]+)/record)",
                  [this](const auto& request, auto& response) {
-                   Note(request);
+                   RecordAttempt(request);
                    Answer(request, response);
                    response.set_content(R"({"number": 1})", "application/json");
                    if (on_query) on_query(request, response);
@@ -94,7 +94,7 @@
   Handler on_query;
 
  private:
-  void Note(const httplib::Request& request) {
+  void RecordAttempt(const httplib::Request& request) {
     const std::lock_guard lock(mutex_);
     attempts_.push_back(request.get_header_value("X-Attempt-Id"));
   }
--- a/packages/dispatch/tests/part_executor_test.cc
+++ b/packages/dispatch/tests/part_executor_test.cc
@@ -29,7 +29,7 @@
     BOOST_TEST(outcome.hits[0].fields == R"({"n":1})");
   }
   executor.Stop();
-  BOOST_TEST(outcomes.MostTimes() == 1);
+  BOOST_TEST(outcomes.MaxDeliveries() == 1);
   BOOST_TEST(executor.InFlight() == 0u);
   BOOST_TEST(!b1.SawAttemptTwice());
 }
@@ -47,7 +47,7 @@
 
 // A caller disconnects while its query runs. Its attempt is cancelled at the
 // backend server, and the slot is used for the next query.
-BOOST_AUTO_TEST_CASE(cancel_frees_the_slot_and_tells_the_server) {
+BOOST_AUTO_TEST_CASE(cancel_frees_the_slot_and_notifies_the_server) {
   std::atomic<bool> hang{true};
   std::atomic<bool> release{false};
   FakeBackend b1("b1");
--- a/packages/dispatch/tests/record_test.cc
+++ b/packages/dispatch/tests/record_test.cc
@@ -32,11 +32,11 @@
 // The backend server reads the record and closes the connection without a
 // reply. A retry at the other replica could store the record twice; the outcome
 // must say that it may have run.
-BOOST_AUTO_TEST_CASE(a_record_without_an_answer_is_not_tried_again) {
+BOOST_AUTO_TEST_CASE(a_record_without_a_reply_is_not_retried) {
   RawBackend b1("", nullptr);
   RawBackend b2("", nullptr);
   limits::GroupPolicy policy;
-  policy.connections.warm = 0;
+  policy.connections.preconnect = 0;
   const auto config =
       MakeGroupConfig({b1.Config("b1"), b2.Config("b2")}, policy);
   PartExecutor executor(TestOptions(), nullptr);
@@ -65,7 +65,7 @@
 
 // The backend server rejects the record for its content. The outcome carries
 // the server's reason.
-BOOST_AUTO_TEST_CASE(a_refused_record_carries_the_reason) {
+BOOST_AUTO_TEST_CASE(a_rejected_record_carries_the_reason) {
   FakeBackend b1("b1");
   b1.on_query = [](const auto&, auto& response) {
     response.status = 422;
--- a/packages/dispatch/tests/reply_fuzz_test.cc
+++ b/packages/dispatch/tests/reply_fuzz_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kRounds = 8000;
-constexpr size_t kMaxHeld = 64;
+constexpr size_t kMaxHeldVersions = 64;
 
 constexpr std::string_view kTokens[] = {"\"",
                                         "{",
@@ -77,7 +77,7 @@
          http::HeaderOf(reply, "X-Server-Id") == "b1";
 }
 
-void TestAnswer(const CheckedReply& checked, const http::Reply& reply) {
+void CheckAnswer(const CheckedReply& checked, const http::Reply& reply) {
   BOOST_REQUIRE_EQUAL(reply.status, 200);
   BOOST_REQUIRE(EchoesAreRight(reply));
   for (const limits::Hit& it : checked.hits) {
@@ -91,18 +91,18 @@
 // A backend server with a faulty disk, memory or release sends nearly valid
 // replies. A hit with a non-finite score would make the order of the answer
 // undefined, and a partly accepted reply would count its shard as covered.
-BOOST_AUTO_TEST_CASE(damaged_replies_give_sound_hits_or_none) {
+BOOST_AUTO_TEST_CASE(damaged_replies_give_valid_hits_or_none) {
   const ExpectedEcho expected{"a-1-1", IndexVersion(7), BackendServerId("b1")};
   Random random(3);
-  int taken = 0;
+  int accepted = 0;
   int held = 0;
   int bad = 0;
   for (int i = 0; i < kRounds; ++i) {
     const http::Reply reply = DamagedReply(&random);
     const CheckedReply checked = CheckReply(expected, reply);
     if (checked.code == Code::kOk) {
-      ++taken;
-      TestAnswer(checked, reply);
+      ++accepted;
+      CheckAnswer(checked, reply);
       continue;
     }
     BOOST_REQUIRE_MESSAGE(checked.hits.empty(), reply.body);
@@ -110,9 +110,9 @@
     if (checked.code != Code::kVersionNotHeld) continue;
     ++held;
     BOOST_REQUIRE_EQUAL(reply.status, 409);
-    BOOST_REQUIRE(checked.held.size() <= kMaxHeld);
+    BOOST_REQUIRE(checked.held.size() <= kMaxHeldVersions);
   }
-  BOOST_TEST(taken > 0);
+  BOOST_TEST(accepted > 0);
   BOOST_TEST(held > 0);
   BOOST_TEST(bad > 0);
 }
--- a/packages/dispatch/tests/stress_test.cc
+++ b/packages/dispatch/tests/stress_test.cc
@@ -18,11 +18,12 @@
 
 // Replies normally, slowly, with an error or with a shed, chosen by a hash of
 // the attempt id.
-void Misbehave(const httplib::Request& request, httplib::Response& response) {
+void ReplyRandomly(const httplib::Request& request,
+                   httplib::Response& response) {
   const size_t hash =
       std::hash<std::string>()(request.get_header_value("X-Attempt-Id"));
-  Random chance(hash);
-  switch (chance.Below(8)) {
+  Random random(hash);
+  switch (random.Below(8)) {
     case 0:
       response.status = 500;
       break;
@@ -39,8 +40,8 @@
 }
 
 // Runs parts one after another and cancels every third.
-void Call(PartExecutor* executor, const GroupConfig& config, int caller,
-          std::vector<std::unique_ptr<Outcomes>>* all) {
+void RunParts(PartExecutor* executor, const GroupConfig& config, int caller,
+              std::vector<std::unique_ptr<Outcomes>>* all) {
   for (int i = 0; i < kPartsEach; ++i) {
     all->push_back(std::make_unique<Outcomes>());
     auto part = MakePart(config, kShards);
@@ -62,8 +63,8 @@
 BOOST_AUTO_TEST_CASE(many_callers_and_failing_servers) {
   FakeBackend b1("b1");
   FakeBackend b2("b2");
-  b1.on_query = Misbehave;
-  b2.on_query = Misbehave;
+  b1.on_query = ReplyRandomly;
+  b2.on_query = ReplyRandomly;
   b1.Start();
   b2.Start();
   const auto config = MakeGroupConfig({b1.Config(), b2.Config()});
@@ -73,7 +74,7 @@
   std::vector<std::thread> callers;
   for (int i = 0; i < kCallers; ++i) {
     callers.emplace_back([&, i] {
-      Call(&executor, config, i, &outcomes[static_cast<size_t>(i)]);
+      RunParts(&executor, config, i, &outcomes[static_cast<size_t>(i)]);
     });
   }
   for (auto& it : callers) it.join();
@@ -86,7 +87,7 @@
     for (size_t i = 0; i < parts.size(); ++i) {
       const size_t given = parts[i]->Count();
       BOOST_TEST((given == kShards || i % 3 == 0));
-      BOOST_TEST(parts[i]->MostTimes() <= 1);
+      BOOST_TEST(parts[i]->MaxDeliveries() <= 1);
     }
   }
   BOOST_TEST(!b1.SawAttemptTwice());
--- a/packages/front/src/answer_body.cc
+++ b/packages/front/src/answer_body.cc
@@ -58,7 +58,7 @@
     AppendHit(&out, it);
   }
   out += R"(],"attempts":)" + std::to_string(answer.attempts);
-  out += R"(,"took_ms":)" + std::to_string(Whole(answer.took)) + "}";
+  out += R"(,"took_ms":)" + std::to_string(Whole(answer.elapsed)) + "}";
   return out;
 }
 
--- a/packages/front/tests/callers_api_test.cc
+++ b/packages/front/tests/callers_api_test.cc
@@ -40,7 +40,7 @@
     answer.missing = {{ShardId("p2"), Code::kDeadlineExceeded}};
     answer.hits = {{{"doc-1", 0.5, R"({"name":"Ås"})"}, ShardId("p1")}};
     answer.attempts = 3;
-    answer.took = Millis(36.6);
+    answer.elapsed = Millis(36.6);
     record_answer.result = "{\"row\":1}";
     ports.find_route = [this](const RouteId& route, const CustomerId&) {
       return FindRoute(route);
--- a/packages/limits/include/hibiscuspick/limits/group.h
+++ b/packages/limits/include/hibiscuspick/limits/group.h
@@ -17,7 +17,7 @@
 #include "hibiscuspick/base/lane.h"
 #include "hibiscuspick/base/millis.h"
 #include "hibiscuspick/base/random.h"
-#include "hibiscuspick/limits/attempt_budget.h"
+#include "hibiscuspick/limits/extra_attempt_budget.h"
 #include "hibiscuspick/limits/group_policy.h"
 #include "hibiscuspick/limits/lane_queues.h"
 #include "hibiscuspick/limits/latency_sketch.h"
@@ -83,7 +83,7 @@
   std::vector<IndexVersion> held;
 };
 
-struct PrepareConnection {
+struct Preconnect {
   uint32_t server = 0;
 };
 
@@ -112,8 +112,8 @@
   size_t waiting = 0;
 };
 
-using Action = std::variant<StartAttempt, CancelAttempt, TaskDone,
-                            PrepareConnection, Decision>;
+using Action =
+    std::variant<StartAttempt, CancelAttempt, TaskDone, Preconnect, Decision>;
 using Actions = std::vector<Action>;
 
 struct TaskState {
@@ -123,14 +123,14 @@
   ServerSet candidates;
   ServerSet tried;
   std::vector<AttemptId> running;
-  bool waits = false;
-  QueuePlace place;
+  bool is_queued = false;
+  QueuePosition position;
   AttemptKind next_kind = AttemptKind::kFirst;
   // Whether the queued attempt has taken a token from the budget.
-  bool paid = false;
+  bool charged = false;
   bool hedged = false;
   // Attempts sent.
-  uint32_t handed = 0;
+  uint32_t attempts_sent = 0;
   Code last_code = Code::kOk;
   std::vector<IndexVersion> held;
 };
@@ -141,10 +141,10 @@
   Lane lane = Lane::kOrdinary;
   IndexVersion version;
   Millis deadline;
-  Millis handed_at;
+  Millis sent_at;
   AttemptKind kind = AttemptKind::kFirst;
-  bool paid = false;
-  bool handed = false;
+  bool charged = false;
+  bool sent = false;
   // The task no longer needs the attempt, but the server may still run it, so
   // its slot stays in use.
   bool abandoned = false;
@@ -178,10 +178,10 @@
   uint64_t hedges_won = 0;
   uint64_t sheds = 0;
   uint64_t refused_queue_full = 0;
-  uint64_t refused_unreachable = 0;
+  uint64_t refused_deadline = 0;
   uint64_t refused_no_server = 0;
   uint64_t dropped_waiting = 0;
-  uint64_t stopped_before_socket = 0;
+  uint64_t stopped_before_send = 0;
   uint64_t ejections = 0;
   uint64_t cancels = 0;
 };
@@ -203,7 +203,7 @@
   // Whether bulk attempts take much longer than urgent ones. Assumed until both
   // lanes have enough samples.
   bool bulk_is_long = true;
-  AttemptBudget budget;
+  ExtraAttemptBudget budget;
   std::set<Timer> timers;
   GroupCounters counters;
   bool configured = false;
@@ -245,9 +245,9 @@
 
 // Handles a report of a server's incarnation and drain state from a peer, the
 // platform or a reply.
-void TakeServerNews(GroupState* state, const BackendServerId& server,
-                    Incarnation incarnation, bool draining, Millis now,
-                    Random* random, Actions* actions);
+void ApplyDrainReport(GroupState* state, const BackendServerId& server,
+                      Incarnation incarnation, bool draining, Millis now,
+                      Random* random, Actions* actions);
 
 // Runs the timers that are due. Call it at NextDue or later.
 void Tick(GroupState* state, Millis now, Random* random, Actions* actions);
--- a/packages/limits/include/hibiscuspick/limits/group_policy.h
+++ b/packages/limits/include/hibiscuspick/limits/group_policy.h
@@ -20,7 +20,7 @@
   // the reserve, any other instance only the reserve.
   bool owner = true;
   // Connections opened in advance to each server.
-  int warm = 2;
+  int preconnect = 2;
   // Timeout for opening one connection.
   Millis connect_timeout{250};
 };
@@ -32,12 +32,12 @@
   // The hedge starts after this quantile of the lane's recent latency, but no
   // earlier than `min_delay`.
   double quantile = 0.9;
-  Millis min{2};
+  Millis min_delay{2};
   // Delay used until enough latencies have been measured.
-  Millis cold{50};
+  Millis default_delay{50};
   // Whether an urgent hedge that finds no free slot is queued ahead of all
   // other tasks. Otherwise it is dropped.
-  bool first_in_line = true;
+  bool prioritize_urgent = true;
 };
 
 struct RetryPolicy {
@@ -46,13 +46,13 @@
   // Backoff: a server gets no attempts for this long after it shed one or could
   // not be connected to. The actual pause is random, between half and all of
   // it.
-  Millis pause{10};
+  Millis backoff{10};
 };
 
 // Hedges and retries share one budget, so that they stop under overload.
 struct BudgetPolicy {
   // Tokens credited for each first attempt.
-  double share = 0.05;
+  double per_first_attempt = 0.05;
   // Capacity of the bucket, which starts full.
   double burst = 10;
   // Tokens credited each second regardless of traffic, so that a group with
@@ -75,14 +75,14 @@
   double max_share = 0.5;
   // Duration of the first ejection. It doubles with each further one up to
   // `max_duration`.
-  Millis span{1000};
-  Millis max_span{30000};
+  Millis first_duration{1000};
+  Millis max_duration{30000};
 };
 
 // Where bulk attempts must leave one slot free for more urgent lanes: nowhere,
 // on one of the shard's servers, on every server, or adaptively: on every
 // server while bulk attempts take much longer than urgent ones, else on one.
-enum class BulkRule { kNone, kOneOfServers, kEachServer, kByLength };
+enum class BulkReservation { kNone, kPerShard, kPerServer, kAdaptive };
 
 struct GroupPolicy {
   // Limits the attempts in flight at each server to its slots. Off: attempts
@@ -92,12 +92,12 @@
   // served.
   bool lanes_enabled = true;
   // Applies only while slots and lanes are enabled.
-  BulkRule bulk_rule = BulkRule::kByLength;
+  BulkReservation bulk_reservation = BulkReservation::kAdaptive;
   // Picks the better of two random servers by load and latency. Off: one random
   // server.
-  bool choice_enabled = true;
+  bool two_choices = true;
   // Refuses on arrival tasks that cannot meet their deadline.
-  bool refusal_enabled = true;
+  bool admission_control_enabled = true;
   ConnectionPolicy connections;
   HedgePolicy hedge;
   RetryPolicy retry;
@@ -112,10 +112,10 @@
   // if the end of the attempt is not observed.
   Millis slot_grace{5};
   // How long a server's report of the versions it holds is used.
-  Millis held_memory{1000};
+  Millis held_versions_lifetime{1000};
   // How long a server that reported a drain without its incarnation gets no new
   // attempts.
-  Millis drain_memory{600000};
+  Millis drain_lifetime{600000};
 };
 
 // The baseline policy for comparisons: no slots, no lanes, no hedging, a random
--- a/packages/limits/include/hibiscuspick/limits/lane_queues.h
+++ b/packages/limits/include/hibiscuspick/limits/lane_queues.h
@@ -22,7 +22,7 @@
 // A queued attempt. Entries are started in ascending order.
 struct QueueEntry {
   // False for a prioritized hedge, since false sorts before true.
-  bool in_order = true;
+  bool not_prioritized = true;
   // The deadline, or the arrival time if lanes are disabled.
   Millis order;
   uint64_t sequence = 0;
@@ -31,7 +31,7 @@
 };
 
 // The position of an entry in the queues.
-struct QueuePlace {
+struct QueuePosition {
   Lane lane = Lane::kUrgent;
   ServerSet servers;
   QueueEntry entry;
@@ -50,9 +50,9 @@
   std::array<LaneQueue, kLaneCount> lanes;
 };
 
-void Enqueue(LaneQueues* queues, const QueuePlace& place);
-void Dequeue(LaneQueues* queues, const QueuePlace& place);
-size_t Waiting(const LaneQueues& queues);
+void Enqueue(LaneQueues* queues, const QueuePosition& position);
+void Dequeue(LaneQueues* queues, const QueuePosition& position);
+size_t CountWaiting(const LaneQueues& queues);
 
 // Counts the entries that would be started before an entry of this lane and
 // order.
@@ -62,8 +62,8 @@
 // less urgent lane has a credit of one start. `has_capacity` tells whether a
 // server of the set can take an attempt of the lane. Does not remove the entry,
 // but updates the lanes' credits.
-std::optional<QueuePlace> NextToStart(
+std::optional<QueuePosition> NextToStart(
     LaneQueues* queues, const std::array<LanePolicy, kLaneCount>& policy,
-    const std::function<bool(Lane, const ServerSet&)>& fits);
+    const std::function<bool(Lane, const ServerSet&)>& has_capacity);
 
 }  // namespace hibiscuspick::limits
--- a/packages/limits/include/hibiscuspick/limits/server_state.h
+++ b/packages/limits/include/hibiscuspick/limits/server_state.h
@@ -16,7 +16,7 @@
 // The index versions a server reported that it holds, and when.
 struct HeldVersions {
   std::vector<IndexVersion> versions;
-  Millis learned;
+  Millis reported_at;
 };
 
 struct ServerState {
@@ -37,20 +37,20 @@
   // Exponentially weighted moving average of the latency of complete replies; 0
   // before the first.
   Millis latency;
-  Millis latency_at;
-  int failures_in_row = 0;
+  Millis latency_updated_at;
+  int consecutive_failures = 0;
   bool ejected = false;
   Millis ejected_until;
   int ejections = 0;
   // No attempt is started before this time, after a shed or a failed connect.
-  Millis paused_until;
+  Millis backoff_until;
   // Start of the slow start; far in the past for a server that has finished it.
-  Millis cold_since{-1e18};
+  Millis slow_start_began{-1e18};
   HeldVersions held;
 };
 
 // Whether the server is neither removed nor draining.
-bool TakesNewWork(const ServerState& server, Millis now);
+bool AcceptsNewWork(const ServerState& server, Millis now);
 
 // The number of connections this instance may have open to the server.
 int ConnectionShare(const ServerState& server, const GroupPolicy& policy);
@@ -62,20 +62,21 @@
 // Whether an attempt may start now. An ejected server takes one attempt at a
 // time as a probe, once its ejection is over or, with `allow_probe`, earlier:
 // for a shard that has no other server.
-bool HasRoom(const ServerState& server, const GroupPolicy& policy, Millis now,
-             bool desperate);
+bool HasCapacity(const ServerState& server, const GroupPolicy& policy,
+                 Millis now, bool allow_probe);
 
 // Whether bulk may take one more slot and leave one for the other lanes.
-bool HasRoomForBulk(const ServerState& server, const GroupPolicy& policy,
-                    Millis now);
+bool HasCapacityForBulk(const ServerState& server, const GroupPolicy& policy,
+                        Millis now);
 
 // Whether the server recently reported that it does not hold the version.
-bool KnownToLack(const ServerState& server, IndexVersion version,
-                 const GroupPolicy& policy, Millis now);
+bool LacksVersion(const ServerState& server, IndexVersion version,
+                  const GroupPolicy& policy, Millis now);
 
 // The slow start factor: the share of its normal load that the server gets,
 // growing linearly with time from a tenth to 1.
-double Warmth(const ServerState& server, const GroupPolicy& policy, Millis now);
+double SlowStartFactor(const ServerState& server, const GroupPolicy& policy,
+                       Millis now);
 
 // The load balancing cost of the server: attempts in flight, plus one, times
 // average latency. Lower is better.
@@ -84,8 +85,8 @@
 // Applies a report of the server's incarnation and drain state. Reports of an
 // older incarnation are ignored, so that a late one can neither end a drain nor
 // drain a restarted server. Returns whether anything changed.
-bool TakeNews(ServerState* server, Incarnation incarnation, bool draining,
-              const GroupPolicy& policy, Millis now);
+bool UpdateDrainState(ServerState* server, Incarnation incarnation,
+                      bool draining, const GroupPolicy& policy, Millis now);
 
 // Ejects the server for a duration that doubles each time. The jitter keeps
 // many instances from probing the server at the same moment.
--- a/packages/limits/src/latency_sketch.cc
+++ b/packages/limits/src/latency_sketch.cc
@@ -8,12 +8,13 @@
 namespace hibiscuspick::limits {
 namespace {
 
-constexpr double kLowest = 0.05;
-constexpr double kGrowth = 1.08;
+constexpr double kMinLatencyMs = 0.05;
+constexpr double kBucketGrowth = 1.08;
 
 size_t BucketOf(Millis latency) {
-  if (latency.count <= kLowest) return 0;
-  const double n = std::log(latency.count / kLowest) / std::log(kGrowth);
+  if (latency.count <= kMinLatencyMs) return 0;
+  const double n =
+      std::log(latency.count / kMinLatencyMs) / std::log(kBucketGrowth);
   return std::min(static_cast<size_t>(n), LatencySketch::kBuckets - 1);
 }
 
@@ -32,18 +33,19 @@
 
 Millis Quantile(const LatencySketch& sketch, double quantile) {
   if (sketch.total <= 0) return Millis(0);
-  const double wanted = quantile * static_cast<double>(sketch.total);
-  double seen = 0;
+  const double target = quantile * static_cast<double>(sketch.total);
+  double cumulative = 0;
   for (size_t i = 0; i < LatencySketch::kBuckets; ++i) {
     const double n = static_cast<double>(sketch.counts[i]);
-    if (n > 0 && seen + n >= wanted) {
-      const double share = (wanted - seen) / n;
-      return Millis(kLowest *
-                    std::pow(kGrowth, static_cast<double>(i) + share));
+    if (n > 0 && cumulative + n >= target) {
+      const double share = (target - cumulative) / n;
+      return Millis(kMinLatencyMs *
+                    std::pow(kBucketGrowth, static_cast<double>(i) + share));
     }
-    seen += n;
+    cumulative += n;
   }
-  return Millis(kLowest * std::pow(kGrowth, LatencySketch::kBuckets));
+  return Millis(kMinLatencyMs *
+                std::pow(kBucketGrowth, LatencySketch::kBuckets));
 }
 
 double ShareBelow(const LatencySketch& sketch, Millis latency) {
--- a/packages/limits/src/server_state.cc
+++ b/packages/limits/src/server_state.cc
@@ -9,23 +9,23 @@
 // Weight of a new sample in the moving average.
 constexpr double kLatencyWeight = 0.1;
 // Slow start factor of a server that has just joined.
-constexpr double kLeastWarmth = 0.1;
+constexpr double kMinSlowStartFactor = 0.1;
 // The average latency of a server without new samples is halved after each such
 // time. Otherwise a server that was slow once would get no attempts while
 // others have capacity, and its average would never recover.
 constexpr Millis kLatencyHalfLife{5000};
 // Lower bound of the latency in Cost, so that load decides between servers
 // without samples.
-constexpr double kLeastLatency = 0.1;
+constexpr double kMinLatency = 0.1;
 constexpr int kMaxDoublings = 16;
 
 }  // namespace
 
-double Warmth(const ServerState& server, const GroupPolicy& policy,
-              Millis now) {
-  const Millis age = now - server.cold_since;
+double SlowStartFactor(const ServerState& server, const GroupPolicy& policy,
+                       Millis now) {
+  const Millis age = now - server.slow_start_began;
   if (age >= policy.slow_start) return 1;
-  return std::max(kLeastWarmth, age.count / policy.slow_start.count);
+  return std::max(kMinSlowStartFactor, age.count / policy.slow_start.count);
 }
 
 int ConnectionShare(const ServerState& server, const GroupPolicy& policy) {
@@ -34,7 +34,7 @@
   return std::max(1, policy.connections.owner ? all - reserve : reserve);
 }
 
-bool TakesNewWork(const ServerState& server, Millis now) {
+bool AcceptsNewWork(const ServerState& server, Millis now) {
   if (server.removed || server.drained) return false;
   return !server.draining || now >= server.draining_until;
 }
@@ -43,24 +43,24 @@
   const int share = ConnectionShare(server, policy);
   const int full =
       policy.slots_enabled ? std::min(server.config.slots, share) : share;
-  const double ramp = full * Warmth(server, policy, now);
-  return std::max(1, static_cast<int>(std::ceil(ramp)));
+  const double scaled = full * SlowStartFactor(server, policy, now);
+  return std::max(1, static_cast<int>(std::ceil(scaled)));
 }
 
-bool HasRoom(const ServerState& server, const GroupPolicy& policy, Millis now,
-             bool desperate) {
-  if (!TakesNewWork(server, now)) return false;
-  if (now < server.paused_until) return false;
+bool HasCapacity(const ServerState& server, const GroupPolicy& policy,
+                 Millis now, bool allow_probe) {
+  if (!AcceptsNewWork(server, now)) return false;
+  if (now < server.backoff_until) return false;
   if (server.ejected) {
     // One attempt at a time probes whether the server has recovered.
-    const bool probe = desperate || now >= server.ejected_until;
+    const bool probe = allow_probe || now >= server.ejected_until;
     return probe && server.in_flight == 0;
   }
   return server.in_flight < Capacity(server, policy, now);
 }
 
-bool HasRoomForBulk(const ServerState& server, const GroupPolicy& policy,
-                    Millis now) {
+bool HasCapacityForBulk(const ServerState& server, const GroupPolicy& policy,
+                        Millis now) {
   // Bulk attempts are long. If they used all slots, an urgent task would wait
   // for one of them to finish. A server with a single slot is exempt, since
   // bulk would otherwise never run there.
@@ -68,10 +68,11 @@
   return capacity == 1 || server.bulk_in_flight < capacity - 1;
 }
 
-bool KnownToLack(const ServerState& server, IndexVersion version,
-                 const GroupPolicy& policy, Millis now) {
+bool LacksVersion(const ServerState& server, IndexVersion version,
+                  const GroupPolicy& policy, Millis now) {
   const HeldVersions& held = server.held;
-  if (held.versions.empty() || now >= held.learned + policy.held_memory) {
+  if (held.versions.empty() ||
+      now >= held.reported_at + policy.held_versions_lifetime) {
     return false;
   }
   return std::find(held.versions.begin(), held.versions.end(), version) ==
@@ -79,49 +80,51 @@
 }
 
 double Cost(const ServerState& server, Millis now) {
-  const double idle = (now - server.latency_at).count / kLatencyHalfLife.count;
-  const double believed = server.latency.count * std::exp2(-idle);
-  return (server.in_flight + 1) * std::max(believed, kLeastLatency);
+  const double idle =
+      (now - server.latency_updated_at).count / kLatencyHalfLife.count;
+  const double decayed = server.latency.count * std::exp2(-idle);
+  return (server.in_flight + 1) * std::max(decayed, kMinLatency);
 }
 
-bool TakeNews(ServerState* server, Incarnation incarnation, bool draining,
-              const GroupPolicy& policy, Millis now) {
+bool UpdateDrainState(ServerState* server, Incarnation incarnation,
+                      bool draining, const GroupPolicy& policy, Millis now) {
   if (incarnation.value != 0 && incarnation < server->incarnation) return false;
-  const bool next_life = server->incarnation < incarnation;
-  const bool first_word = server->incarnation.value == 0;
-  if (next_life) server->incarnation = incarnation;
+  const bool is_restart = server->incarnation < incarnation;
+  const bool is_first_report = server->incarnation.value == 0;
+  if (is_restart) server->incarnation = incarnation;
   if (draining) {
-    const bool changed = !server->draining || next_life;
+    const bool changed = !server->draining || is_restart;
     server->draining = true;
     server->draining_until =
-        incarnation.value == 0 ? now + policy.drain_memory : kNever;
+        incarnation.value == 0 ? now + policy.drain_lifetime : kNever;
     return changed;
   }
   // A draining server never accepts work again within one incarnation, so a
   // "not draining" report of the same incarnation is stale.
-  if (!next_life) return false;
-  if (first_word && !server->draining) return false;
+  if (!is_restart) return false;
+  if (is_first_report && !server->draining) return false;
   server->draining = false;
   server->ejected = false;
-  server->failures_in_row = 0;
+  server->consecutive_failures = 0;
   server->ejections = 0;
   server->latency = Millis(0);
   server->held = {};
-  server->cold_since = now;
+  server->slow_start_began = now;
   return true;
 }
 
 void Eject(ServerState* server, const EjectionPolicy& policy, Millis now,
            Random* random) {
   const int doublings = std::min(server->ejections, kMaxDoublings);
-  const Millis span = Min(policy.max_span, policy.span * std::exp2(doublings));
+  const Millis duration =
+      Min(policy.max_duration, policy.first_duration * std::exp2(doublings));
   server->ejected = true;
-  server->ejected_until = now + span * (0.75 + 0.5 * random->Fraction());
+  server->ejected_until = now + duration * (0.75 + 0.5 * random->Fraction());
   ++server->ejections;
 }
 
 void RecordLatency(ServerState* server, Millis latency, Millis now) {
-  server->latency_at = now;
+  server->latency_updated_at = now;
   if (server->latency == Millis(0)) {
     server->latency = latency;
     return;
--- a/packages/limits/tests/extra_attempts_test.cc
+++ b/packages/limits/tests/extra_attempts_test.cc
@@ -10,13 +10,13 @@
 // attempt is cancelled.
 BOOST_AUTO_TEST_CASE(a_straggler_is_hedged) {
   GroupFixture group(2);
-  group.Learn();
+  group.AddLatencySamples();
   group.Add(Lane::kUrgent, Millis(200));
-  const auto first = group.TakeHanded();
+  const auto first = group.TakeStarted();
   group.Advance(Millis(3));
   BOOST_TEST(group.Take<StartAttempt>().empty());
   group.Advance(Millis(5));
-  const auto hedge = group.TakeHanded();
+  const auto hedge = group.TakeStarted();
   BOOST_REQUIRE(hedge.size() == 1u);
   BOOST_TEST((hedge[0].kind == AttemptKind::kHedge));
   BOOST_TEST(hedge[0].server != first[0].server);
@@ -32,19 +32,19 @@
 
 // An urgent hedge finds all slots in use. It gets the next free slot, ahead of
 // tasks queued earlier: its caller has waited longest.
-BOOST_AUTO_TEST_CASE(an_urgent_hedge_goes_first_in_line) {
+BOOST_AUTO_TEST_CASE(an_urgent_hedge_is_started_first) {
   GroupFixture group(2, {}, 1);
-  group.Learn();
+  group.AddLatencySamples();
   group.Add(Lane::kUrgent, Millis(500));
-  const auto straggler = group.TakeHanded();
-  const TaskId short_one = group.Add(Lane::kUrgent, Millis(300));
-  const auto other = group.TakeHanded();
-  BOOST_TEST((other[0].task == short_one));
+  const auto straggler = group.TakeStarted();
+  const TaskId second_task = group.Add(Lane::kUrgent, Millis(300));
+  const auto other = group.TakeStarted();
+  BOOST_TEST((other[0].task == second_task));
   group.Add(Lane::kUrgent, Millis(100));
   group.Advance(Millis(8));
   BOOST_TEST(group.Take<StartAttempt>().empty());
   group.Finish(other[0].attempt, Code::kOk);
-  const auto next = group.TakeHanded();
+  const auto next = group.TakeStarted();
   BOOST_REQUIRE(next.size() == 1u);
   BOOST_TEST((next[0].kind == AttemptKind::kHedge));
   BOOST_TEST((next[0].task == straggler[0].task));
@@ -54,10 +54,10 @@
 // returned.
 BOOST_AUTO_TEST_CASE(an_interactive_hedge_takes_only_a_free_slot) {
   GroupFixture group(2, {}, 1);
-  group.Learn();
+  group.AddLatencySamples();
   group.Add(Lane::kInteractive, Millis(500));
   group.Add(Lane::kInteractive, Millis(500));
-  const auto running = group.TakeHanded();
+  const auto running = group.TakeStarted();
   BOOST_REQUIRE(running.size() == 2u);
   const double tokens = group.state.budget.tokens;
   group.Advance(Millis(10));
@@ -70,22 +70,22 @@
 // A slow server is running a record. A hedge would store the record twice.
 BOOST_AUTO_TEST_CASE(a_record_is_never_hedged) {
   GroupFixture group(2);
-  group.Learn();
+  group.AddLatencySamples();
   group.Add(Lane::kUrgent, Millis(500), false);
-  BOOST_TEST(group.TakeHanded().size() == 1u);
+  BOOST_TEST(group.TakeStarted().size() == 1u);
   group.Advance(Millis(400));
   BOOST_TEST(group.Take<StartAttempt>().empty());
 }
 
 // Every server sheds all attempts for a while. Unbounded retries would multiply
 // the load while there is too much of it.
-BOOST_AUTO_TEST_CASE(a_shed_storm_is_not_answered_by_a_retry_storm) {
+BOOST_AUTO_TEST_CASE(the_budget_bounds_retries_while_all_servers_shed) {
   GroupFixture group(2);
   constexpr int kTasks = 2000;
   int attempts = 0;
   for (int i = 0; i < kTasks; ++i) {
     group.Add(Lane::kUrgent, Millis(100));
-    for (const auto& it : group.TakeHanded()) {
+    for (const auto& it : group.TakeStarted()) {
       ++attempts;
       group.Finish(it.attempt, Code::kShed);
     }
@@ -106,14 +106,14 @@
 
 // All servers become slow at once, as with a shared disk. Hedging every attempt
 // would double the load and keep them slow.
-BOOST_AUTO_TEST_CASE(hedges_vanish_when_everything_is_slow) {
+BOOST_AUTO_TEST_CASE(the_budget_bounds_hedges_while_all_servers_are_slow) {
   GroupFixture group(2, {}, 8);
-  group.Learn();
+  group.AddLatencySamples();
   for (int i = 0; i < 100; ++i) {
     for (int n = 0; n < 8; ++n) group.Add(Lane::kUrgent, Millis(1000));
-    auto running = group.TakeHanded();
+    auto running = group.TakeStarted();
     group.Advance(Millis(40));
-    for (const auto& it : group.TakeHanded()) running.push_back(it);
+    for (const auto& it : group.TakeStarted()) running.push_back(it);
     for (const auto& it : running) {
       group.Finish(it.attempt, Code::kOk, Millis(40));
     }
@@ -126,14 +126,14 @@
 
 // One replica does not hold the pinned version yet. Only one attempt is sent to
 // it; later tasks go straight to the replica that holds the version.
-BOOST_AUTO_TEST_CASE(a_version_not_held_is_remembered) {
+BOOST_AUTO_TEST_CASE(a_version_not_held_is_cached) {
   GroupFixture group(2);
   const std::vector<IndexVersion> old = {IndexVersion(3), IndexVersion(4)};
   int not_held = 0;
   for (int i = 0; i < 100; ++i) {
     group.Add(Lane::kUrgent, Millis(100));
-    for (auto starts = group.TakeHanded(); !starts.empty();
-         starts = group.TakeHanded()) {
+    for (auto starts = group.TakeStarted(); !starts.empty();
+         starts = group.TakeStarted()) {
       if (starts[0].server == 0) {
         ++not_held;
         group.Finish(starts[0].attempt, Code::kVersionNotHeld, Millis(1), old);
@@ -151,12 +151,12 @@
 
 // No replica holds the pinned version any more. The query needs the versions
 // that are held, to restart on a newer one.
-BOOST_AUTO_TEST_CASE(a_version_held_nowhere_names_what_is_held) {
+BOOST_AUTO_TEST_CASE(a_version_held_nowhere_reports_the_held_versions) {
   GroupFixture group(2);
   const std::vector<IndexVersion> newer = {IndexVersion(6)};
   group.Add(Lane::kUrgent, Millis(100));
-  for (auto starts = group.TakeHanded(); !starts.empty();
-       starts = group.TakeHanded()) {
+  for (auto starts = group.TakeStarted(); !starts.empty();
+       starts = group.TakeStarted()) {
     group.Finish(starts[0].attempt, Code::kVersionNotHeld, Millis(1), newer);
   }
   auto done = group.Take<TaskDone>();
--- a/packages/limits/tests/group_fixture.h
+++ b/packages/limits/tests/group_fixture.h
@@ -49,7 +49,7 @@
     return id;
   }
 
-  bool Hand(AttemptId attempt) {
+  bool TryStart(AttemptId attempt) {
     return MayStart(&state, attempt, now, &random, &actions);
   }
 
@@ -77,17 +77,17 @@
   }
 
   // The attempts to start that MayStart confirms, which then count as sent.
-  std::vector<StartAttempt> TakeHanded() {
+  std::vector<StartAttempt> TakeStarted() {
     auto starts = Take<StartAttempt>();
-    std::erase_if(starts, [this](auto& it) { return !Hand(it.attempt); });
+    std::erase_if(starts, [this](auto& it) { return !TryStart(it.attempt); });
     return starts;
   }
 
   // Feeds the group latency samples of 5 ms.
-  void Learn(int n = 100) {
+  void AddLatencySamples(int n = 100) {
     for (int i = 0; i < n; ++i) {
       Add(Lane::kUrgent, Millis(1000));
-      for (const auto& it : TakeHanded()) Finish(it.attempt, Code::kOk);
+      for (const auto& it : TakeStarted()) Finish(it.attempt, Code::kOk);
       now += Millis(1);
     }
     actions.clear();
--- a/packages/limits/tests/group_test.cc
+++ b/packages/limits/tests/group_test.cc
@@ -43,14 +43,15 @@
 // An attempt fails in each way a backend server can fail it. A query's attempt
 // is retried at another server; a record's is not, since the record could be
 // stored twice. The slot of an attempt that may still be running stays in use.
-BOOST_DATA_TEST_CASE(a_failed_attempt, bdata::make(kFailures), row) {
+BOOST_DATA_TEST_CASE(a_failed_attempt_is_retried_unless_unsafe,
+                     bdata::make(kFailures), row) {
   GroupFixture group(2);
   group.Add(Lane::kUrgent, Millis(200), row.idempotent);
-  const auto first = group.TakeHanded();
+  const auto first = group.TakeStarted();
   BOOST_REQUIRE(first.size() == 1u);
   group.Finish(first[0].attempt, row.code);
   BOOST_TEST(SlotsInUse(group.state) == row.slots_after + row.retried);
-  const auto second = group.TakeHanded();
+  const auto second = group.TakeStarted();
   BOOST_REQUIRE(second.size() == (row.retried ? 1u : 0u));
   if (row.retried) {
     BOOST_TEST(second[0].server != first[0].server);
@@ -69,11 +70,11 @@
 BOOST_AUTO_TEST_CASE(slots_are_never_exceeded) {
   GroupFixture group(2);
   for (int i = 0; i < 10; ++i) group.Add(Lane::kUrgent, Millis(200));
-  auto starts = group.TakeHanded();
+  auto starts = group.TakeStarted();
   BOOST_TEST(starts.size() == 4u);
   BOOST_TEST(group.state.servers[0].in_flight == 2);
   group.Finish(starts[0].attempt, Code::kOk);
-  BOOST_TEST(group.TakeHanded().size() == 1u);
+  BOOST_TEST(group.TakeStarted().size() == 1u);
   BOOST_TEST(SlotsInUse(group.state) == 4);
 }
 
@@ -85,7 +86,7 @@
   policy.hedge.enabled = false;
   GroupFixture group(1, policy, 1);
   group.Add(Lane::kUrgent, Millis(100));
-  const auto hung = group.TakeHanded();
+  const auto hung = group.TakeStarted();
   group.Add(Lane::kUrgent, Millis(300));
   group.Advance(Millis(99));
   BOOST_TEST(group.Take<StartAttempt>().empty());
@@ -107,7 +108,7 @@
 BOOST_AUTO_TEST_CASE(a_confirmed_cancel_frees_the_slot) {
   GroupFixture group(1, {}, 1);
   const TaskId task = group.Add(Lane::kUrgent, Millis(200));
-  const auto starts = group.TakeHanded();
+  const auto starts = group.TakeStarted();
   group.Add(Lane::kUrgent, Millis(200));
   CancelTasks(&group.state, {task}, group.now, &group.random, &group.actions);
   BOOST_TEST(group.Take<TaskDone>().empty());
@@ -121,17 +122,17 @@
 // A server reports a drain after an attempt was assigned to it but before it
 // was sent. The attempt must not be sent, and a task that has only that server
 // fails without having run.
-BOOST_AUTO_TEST_CASE(a_drain_is_seen_at_the_last_moment) {
+BOOST_AUTO_TEST_CASE(a_drain_stops_an_attempt_not_yet_sent) {
   GroupFixture group(2);
-  const BackendServerId leaving("b0");
-  group.Add(Lane::kUrgent, Millis(200), true, {leaving});
-  group.Add(Lane::kUrgent, Millis(200), true, {leaving});
+  const BackendServerId draining("b0");
+  group.Add(Lane::kUrgent, Millis(200), true, {draining});
+  group.Add(Lane::kUrgent, Millis(200), true, {draining});
   const auto starts = group.Take<StartAttempt>();
   BOOST_REQUIRE(starts.size() == 2u);
-  BOOST_TEST(group.Hand(starts[0].attempt));
-  TakeServerNews(&group.state, leaving, Incarnation(3), true, group.now,
-                 &group.random, &group.actions);
-  BOOST_TEST(!group.Hand(starts[1].attempt));
+  BOOST_TEST(group.TryStart(starts[0].attempt));
+  ApplyDrainReport(&group.state, draining, Incarnation(3), true, group.now,
+                   &group.random, &group.actions);
+  BOOST_TEST(!group.TryStart(starts[1].attempt));
   auto done = group.Take<TaskDone>();
   BOOST_REQUIRE(done.size() == 1u);
   BOOST_TEST((done[0].code == Code::kNoServer));
@@ -147,7 +148,7 @@
 BOOST_AUTO_TEST_CASE(a_reply_after_the_deadline_does_not_count) {
   GroupFixture group(1);
   group.Add(Lane::kUrgent, Millis(100));
-  const auto starts = group.TakeHanded();
+  const auto starts = group.TakeStarted();
   group.now += Millis(101);
   group.Finish(starts[0].attempt, Code::kOk);
   const auto done = group.Take<TaskDone>();
--- a/packages/limits/tests/lanes_test.cc
+++ b/packages/limits/tests/lanes_test.cc
@@ -34,7 +34,7 @@
       group->Finish(it.second, Code::kOk);
       return true;
     });
-    for (const auto& it : group->TakeHanded()) {
+    for (const auto& it : group->TakeStarted()) {
       running.emplace_back(group->now + Millis(5), it.attempt);
     }
     for (const auto& it : group->Take<TaskDone>()) {
@@ -48,7 +48,7 @@
 struct OverloadRow {
   Lane flooding;
   Lane other;
-  int least_of_other;
+  int min_of_other;
 };
 
 std::ostream& operator<<(std::ostream& out, const OverloadRow& row) {
@@ -67,9 +67,9 @@
 // A bulk export offers one and a half times the group's capacity while fraud
 // checks keep arriving. Every fraud check must be answered, and the export must
 // make progress.
-BOOST_AUTO_TEST_CASE(bulk_overload_does_not_hold_up_urgent_work) {
+BOOST_AUTO_TEST_CASE(bulk_overload_does_not_delay_urgent_tasks) {
   GroupFixture group(2);
-  group.Learn();
+  group.AddLatencySamples();
   Stream stream{&group, {}, {}, {}, {}};
   // Two servers of two slots complete 800 attempts in a thousand milliseconds.
   for (int i = 0; i < 1000; ++i) {
@@ -86,7 +86,7 @@
 // less urgent lane would starve.
 BOOST_DATA_TEST_CASE(no_lane_starves, bdata::make(kOverloads), row) {
   GroupPolicy policy;
-  policy.refusal_enabled = false;
+  policy.admission_control_enabled = false;
   GroupFixture group(2, policy);
   Stream stream{&group, {}, {}, {}, {}};
   for (int i = 0; i < 1250; ++i) {
@@ -94,7 +94,7 @@
     stream.Add(row.other, Millis(5000));
     stream.Step();
   }
-  BOOST_TEST(stream.answered[row.other] >= row.least_of_other);
+  BOOST_TEST(stream.answered[row.other] >= row.min_of_other);
   BOOST_TEST(stream.answered[row.flooding] > 5 * stream.answered[row.other]);
 }
 
@@ -103,38 +103,38 @@
 BOOST_AUTO_TEST_CASE(bulk_never_holds_the_last_slot) {
   GroupFixture group(2);
   for (int i = 0; i < 10; ++i) group.Add(Lane::kBulk, Millis(5000));
-  BOOST_TEST(group.TakeHanded().size() == 2u);
+  BOOST_TEST(group.TakeStarted().size() == 2u);
   group.Add(Lane::kUrgent, Millis(100));
-  BOOST_TEST(group.TakeHanded().size() == 1u);
+  BOOST_TEST(group.TakeStarted().size() == 1u);
 }
 
 // Bulk attempts turn out to be as short as urgent ones. One free slot over both
 // servers is then enough, and a larger reservation would slow the export for
 // nothing.
-BOOST_AUTO_TEST_CASE(short_bulk_attempts_spare_one_slot_of_the_group) {
+BOOST_AUTO_TEST_CASE(short_bulk_attempts_leave_one_slot_per_shard) {
   GroupFixture group(2);
-  group.Learn();
+  group.AddLatencySamples();
   for (int i = 0; i < 30; ++i) {
     group.Add(Lane::kBulk, Millis(5000));
-    for (const auto& it : group.TakeHanded()) {
+    for (const auto& it : group.TakeStarted()) {
       group.Finish(it.attempt, Code::kOk, Millis(6));
     }
   }
   for (int i = 0; i < 10; ++i) group.Add(Lane::kBulk, Millis(5000));
-  BOOST_TEST(group.TakeHanded().size() == 3u);
+  BOOST_TEST(group.TakeStarted().size() == 3u);
 }
 
 // On single-slot servers the reservation would block bulk for ever.
 BOOST_AUTO_TEST_CASE(bulk_runs_on_single_slot_servers) {
   GroupFixture group(2, {}, 1);
   for (int i = 0; i < 3; ++i) group.Add(Lane::kBulk, Millis(5000));
-  BOOST_TEST(group.TakeHanded().size() == 2u);
+  BOOST_TEST(group.TakeStarted().size() == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(the_earliest_deadline_goes_first) {
   GroupFixture group(1, {}, 1);
   group.Add(Lane::kUrgent, Millis(100));
-  const auto running = group.TakeHanded();
+  const auto running = group.TakeStarted();
   group.Add(Lane::kUrgent, Millis(300));
   const TaskId sooner = group.Add(Lane::kUrgent, Millis(200));
   group.Add(Lane::kOrdinary, Millis(50));
@@ -146,9 +146,9 @@
 
 // More tasks are queued than can be finished in time. A new task is refused at
 // once rather than after its deadline, and `ran` is kNo.
-BOOST_AUTO_TEST_CASE(what_cannot_be_done_in_time_is_refused_at_the_door) {
+BOOST_AUTO_TEST_CASE(a_task_that_cannot_meet_its_deadline_is_refused) {
   GroupFixture group(2);
-  group.Learn();
+  group.AddLatencySamples();
   for (int i = 0; i < 40; ++i) group.Add(Lane::kUrgent, Millis(1000));
   group.Take<TaskDone>();
   const TaskId task = group.Add(Lane::kOrdinary, Millis(20));
@@ -161,7 +161,7 @@
 }
 
 // A task for a full lane queue is refused at once, so that memory is bounded.
-BOOST_AUTO_TEST_CASE(a_full_queue_refuses) {
+BOOST_AUTO_TEST_CASE(a_full_queue_refuses_tasks) {
   GroupPolicy policy;
   policy.lanes[LaneIndex(Lane::kOrdinary)].queue_limit = 3;
   GroupFixture group(1, policy, 1);
@@ -178,13 +178,13 @@
 
 // The baseline policy sends all tasks to the servers at once, in order of
 // arrival, up to the number of connections.
-BOOST_AUTO_TEST_CASE(the_baseline_counts_no_slots) {
+BOOST_AUTO_TEST_CASE(the_baseline_ignores_slots) {
   GroupPolicy policy = DirectBaseline();
   policy.connections.reserve = 4;
   GroupFixture group(2, policy);
   group.Add(Lane::kBulk, Millis(5000));
   for (int i = 0; i < 9; ++i) group.Add(Lane::kUrgent, Millis(1000));
-  BOOST_TEST(group.TakeHanded().size() == 8u);
+  BOOST_TEST(group.TakeStarted().size() == 8u);
 }
 
 }  // namespace hibiscuspick::limits
--- a/packages/limits/tests/random_events_test.cc
+++ b/packages/limits/tests/random_events_test.cc
@@ -16,7 +16,7 @@
 constexpr int kSlots = 2;
 constexpr int kEvents = 4000;
 
-constexpr Code kEndings[] = {Code::kOk,
+constexpr Code kResults[] = {Code::kOk,
                              Code::kOk,
                              Code::kOk,
                              Code::kShed,
@@ -30,12 +30,13 @@
                              Code::kReplyTooLarge};
 
 // Feeds a group random events and checks its state against a model.
-class Storm {
+class RandomEvents {
  public:
-  explicit Storm(uint64_t seed) : chance_(seed), group_(kServers, {}, kSlots) {}
+  explicit RandomEvents(uint64_t seed)
+      : random_(seed), group_(kServers, {}, kSlots) {}
 
   void Step() {
-    switch (chance_.Below(11)) {
+    switch (random_.Below(11)) {
       case 0:
       case 1:
       case 2:
@@ -53,59 +54,59 @@
         CancelSome();
         break;
       case 8:
-        News();
+        ReportDrain();
         break;
       case 9:
-        HandOne();
+        StartDelayed();
         break;
       default:
-        group_.Advance(Millis(chance_.Fraction() * 20));
+        group_.Advance(Millis(random_.Fraction() * 20));
     }
-    CarryOut();
+    HandleActions();
     Check();
   }
 
   // Advances past all deadlines and checks that nothing is left.
-  void Settle() {
+  void FinishAll() {
     group_.Advance(Millis(10000));
-    CarryOut();
+    HandleActions();
     Check();
     BOOST_TEST(group_.state.tasks.empty());
     BOOST_TEST(group_.state.attempts.empty());
-    BOOST_TEST(Waiting(group_.state.queues) == 0u);
+    BOOST_TEST(CountWaiting(group_.state.queues) == 0u);
     BOOST_TEST(SlotsInUse(group_.state) == 0);
     BOOST_TEST(open_.empty());
   }
 
  private:
-  struct Open {
+  struct OpenTask {
     bool idempotent = true;
     int handed = 0;
   };
 
   void Add() {
-    const Lane lane = kAllLanes[chance_.Below(kLaneCount)];
-    const bool idempotent = chance_.Below(5) != 0;
+    const Lane lane = kAllLanes[random_.Below(kLaneCount)];
+    const bool idempotent = random_.Below(5) != 0;
     std::vector<BackendServerId> servers;
     for (const auto& it : group_.state.servers) {
-      if (chance_.Below(3) != 0) servers.push_back(it.config.id);
+      if (random_.Below(3) != 0) servers.push_back(it.config.id);
     }
     if (servers.empty()) servers.push_back(group_.state.servers[0].config.id);
     open_[TaskId(group_.last_task + 1)] = {idempotent, 0};
-    group_.Add(lane, Millis(1 + chance_.Fraction() * 150), idempotent, servers);
+    group_.Add(lane, Millis(1 + random_.Fraction() * 150), idempotent, servers);
   }
 
   void FinishOne() {
     if (running_.empty()) return;
     auto it = running_.begin();
-    std::advance(it, chance_.Below(running_.size()));
-    const Code code = kEndings[chance_.Below(std::size(kEndings))];
+    std::advance(it, random_.Below(running_.size()));
+    const Code code = kResults[random_.Below(std::size(kResults))];
     const auto [attempt, task] = *it;
     running_.erase(it);
     const auto open = open_.find(task);
     const bool unsent = code == Code::kConnectFailed;
     if (unsent && open != open_.end()) --open->second.handed;
-    group_.Finish(attempt, code, Millis(chance_.Fraction() * 30),
+    group_.Finish(attempt, code, Millis(random_.Fraction() * 30),
                   {IndexVersion(4)});
   }
 
@@ -118,30 +119,30 @@
   }
 
   void CancelSome() {
-    if (open_.empty() || chance_.Below(4) != 0) return;
+    if (open_.empty() || random_.Below(4) != 0) return;
     std::vector<TaskId> tasks;
     auto it = open_.begin();
-    std::advance(it, chance_.Below(open_.size()));
+    std::advance(it, random_.Below(open_.size()));
     while (it != open_.end() && tasks.size() < 4) {
       tasks.push_back(it->first);
-      gone_.insert(it->first);
+      cancelled_tasks_.insert(it->first);
       it = open_.erase(it);
     }
     CancelTasks(&group_.state, tasks, group_.now, &group_.random,
                 &group_.actions);
   }
 
-  void News() {
-    if (chance_.Below(5) != 0) return;
-    const size_t n = chance_.Below(kServers);
+  void ReportDrain() {
+    if (random_.Below(5) != 0) return;
+    const size_t n = random_.Below(kServers);
     const ServerState& server = group_.state.servers[n];
-    const Incarnation incarnation(server.incarnation.value + chance_.Below(2));
-    TakeServerNews(&group_.state, server.config.id, incarnation,
-                   chance_.Below(3) == 0, group_.now, &group_.random,
-                   &group_.actions);
+    const Incarnation incarnation(server.incarnation.value + random_.Below(2));
+    ApplyDrainReport(&group_.state, server.config.id, incarnation,
+                     random_.Below(3) == 0, group_.now, &group_.random,
+                     &group_.actions);
   }
 
-  void CarryOut() {
+  void HandleActions() {
     while (!group_.actions.empty()) {
       for (const auto& it : group_.Take<TaskDone>()) OnDone(it);
       for (const auto& it : group_.Take<CancelAttempt>()) {
@@ -149,32 +150,32 @@
       }
       for (const auto& it : group_.Take<StartAttempt>()) OnStart(it);
       group_.Take<Decision>();
-      group_.Take<PrepareConnection>();
+      group_.Take<Preconnect>();
     }
   }
 
   void OnStart(const StartAttempt& start) {
-    BOOST_REQUIRE(ids_.insert(start.attempt).second);
-    BOOST_REQUIRE(!gone_.contains(start.task));
+    BOOST_REQUIRE(started_ids_.insert(start.attempt).second);
+    BOOST_REQUIRE(!cancelled_tasks_.contains(start.task));
     // Some workers call MayStart only after other events.
-    if (chance_.Below(3) == 0) {
-      late_.push_back(start);
+    if (random_.Below(3) == 0) {
+      delayed_.push_back(start);
     } else {
-      Hand(start);
+      TryStart(start);
     }
   }
 
-  void HandOne() {
-    if (late_.empty()) return;
-    const StartAttempt start = late_.back();
-    late_.pop_back();
-    Hand(start);
+  void StartDelayed() {
+    if (delayed_.empty()) return;
+    const StartAttempt start = delayed_.back();
+    delayed_.pop_back();
+    TryStart(start);
   }
 
-  void Hand(const StartAttempt& start) {
-    if (!group_.Hand(start.attempt)) return;
+  void TryStart(const StartAttempt& start) {
+    if (!group_.TryStart(start.attempt)) return;
     const auto& server = group_.state.servers[start.server];
-    BOOST_REQUIRE(TakesNewWork(server, group_.now));
+    BOOST_REQUIRE(AcceptsNewWork(server, group_.now));
     BOOST_REQUIRE((group_.now < start.deadline));
     const auto open = open_.find(start.task);
     BOOST_REQUIRE((open != open_.end()));
@@ -204,19 +205,19 @@
     BOOST_REQUIRE(tokens >= 0);
     BOOST_REQUIRE(tokens <= group_.state.policy.budget.burst);
     size_t waiting = 0;
-    for (const auto& it : group_.state.tasks) waiting += it.second.waits;
-    BOOST_REQUIRE(waiting == Waiting(group_.state.queues));
+    for (const auto& it : group_.state.tasks) waiting += it.second.is_queued;
+    BOOST_REQUIRE(waiting == CountWaiting(group_.state.queues));
   }
 
-  Random chance_;
+  Random random_;
   GroupFixture group_;
-  std::map<TaskId, Open> open_;
+  std::map<TaskId, OpenTask> open_;
   std::map<AttemptId, TaskId> running_;
   // Cancelled tasks.
-  std::set<TaskId> gone_;
+  std::set<TaskId> cancelled_tasks_;
   std::vector<AttemptId> cancelled_;
-  std::vector<StartAttempt> late_;
-  std::set<AttemptId> ids_;
+  std::vector<StartAttempt> delayed_;
+  std::set<AttemptId> started_ids_;
 };
 
 }  // namespace
@@ -224,10 +225,11 @@
 // Failures, cancels, drains and deadlines occur in random order. In every order
 // slots are neither exceeded nor leaked, each task finishes once, a record is
 // sent at most once, and `ran` is kNo only if nothing was sent.
-BOOST_DATA_TEST_CASE(any_order_of_events, bdata::xrange(1, 41), seed) {
-  Storm storm(static_cast<uint64_t>(seed));
-  for (int i = 0; i < kEvents; ++i) storm.Step();
-  storm.Settle();
+BOOST_DATA_TEST_CASE(invariants_hold_for_random_events, bdata::xrange(1, 41),
+                     seed) {
+  RandomEvents events(static_cast<uint64_t>(seed));
+  for (int i = 0; i < kEvents; ++i) events.Step();
+  events.FinishAll();
 }
 
 }  // namespace hibiscuspick::limits
--- a/packages/routing/include/hibiscuspick/routing/customer_limits.h
+++ b/packages/routing/include/hibiscuspick/routing/customer_limits.h
@@ -22,9 +22,9 @@
   uint32_t concurrency = std::numeric_limits<uint32_t>::max();
 };
 
-struct CustomerUse {
+struct CustomerUsage {
   double tokens = 0;
-  Millis filled;
+  Millis refilled_at;
   uint32_t running = 0;
 };
 
@@ -33,8 +33,8 @@
 // if it is still full, further customers share one overflow entry.
 struct CustomerLimits {
   size_t max_customers = 10000;
-  std::unordered_map<CustomerId, CustomerUse> uses;
-  Millis swept;
+  std::unordered_map<CustomerId, CustomerUsage> customers;
+  Millis last_sweep;
 };
 
 // Admits a request, which must be paired with Release, or returns the time
--- a/packages/routing/include/hibiscuspick/routing/held_versions.h
+++ b/packages/routing/include/hibiscuspick/routing/held_versions.h
@@ -16,7 +16,7 @@
 // The only versions that a shard's servers reported to hold.
 struct HeldReport {
   std::vector<IndexVersion> held;
-  Millis seen;
+  Millis received_at;
 };
 
 // Reports by shard. Only shards that recently refused a version have one.
@@ -26,26 +26,26 @@
 
 // Lifetime of a report. Servers load new versions without notifying this
 // instance.
-inline constexpr Millis kHeldMemory{5000};
+inline constexpr Millis kHeldReportLifetime{5000};
 
 // Maximum reports; further ones are ignored.
 inline constexpr size_t kMaxHeldReports = 10000;
 
 // Records a refusal: the servers of `shard` do not hold version `asked` but
 // hold `versions`.
-void LearnRefused(HeldVersions* held, const ShardId& shard, IndexVersion asked,
-                  std::vector<IndexVersion> versions, Millis now);
+void RecordRefusal(HeldVersions* held, const ShardId& shard, IndexVersion asked,
+                   std::vector<IndexVersion> versions, Millis now);
 
 // Records a complete reply for `version`, which invalidates a report without
 // that version.
-void LearnAnswered(HeldVersions* held, const ShardId& shard,
-                   IndexVersion version);
+void RecordAnswer(HeldVersions* held, const ShardId& shard,
+                  IndexVersion version);
 
-void ForgetOld(HeldVersions* held, Millis now);
+void RemoveExpired(HeldVersions* held, Millis now);
 
 // The share of the plan's documents, 0 to 1, on shards without a report that
 // refuses its version.
-double PresumedShare(const Plan& plan, const HeldVersions& held, Millis now);
+double ExpectedCoverage(const Plan& plan, const HeldVersions& held, Millis now);
 
 // Returns the index of the plan to pin: the one with the greatest expected
 // coverage, the newest of equal ones. Skips plans without shards and plans of a
--- a/packages/routing/include/hibiscuspick/routing/merge.h
+++ b/packages/routing/include/hibiscuspick/routing/merge.h
@@ -22,6 +22,6 @@
 // Whether a shard's hits can be merged: all scores are finite and all ids
 // non-empty. NaN scores have no order, so that the result of sorting them would
 // be undefined.
-bool AreHitsSound(const std::vector<limits::Hit>& hits);
+bool AreHitsValid(const std::vector<limits::Hit>& hits);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/query.h
+++ b/packages/routing/include/hibiscuspick/routing/query.h
@@ -59,8 +59,8 @@
   uint64_t attempts = 0;
   uint32_t restarts = 0;
   // Parts sent to another instance because the first one timed out or failed.
-  uint32_t asked_again = 0;
-  Millis took;
+  uint32_t parts_reassigned = 0;
+  Millis elapsed;
   // With a refusal: the time after which to retry; 0 if not known.
   Millis retry_after;
 };
@@ -70,7 +70,7 @@
 using CandidatesOf = std::function<std::vector<InstanceId>(const ServiceId&)>;
 
 // The environment of a running query.
-struct QueryWorld {
+struct QueryEnvironment {
   InstanceId self;
   Incarnation incarnation;
   CandidatesOf candidates;
@@ -81,7 +81,7 @@
   // false if there are too few. Without this bound, owners slow from overload
   // would have their work repeated elsewhere, doubling the load when it is
   // highest.
-  std::function<bool(size_t shards)> may_ask_again;
+  std::function<bool(size_t shards)> may_reassign;
 };
 
 // Events.
@@ -112,22 +112,22 @@
   PartId part;
 };
 // Whether a shard's servers hold a version, as learnt from an outcome.
-struct VersionSeen {
+struct VersionObserved {
   ShardId shard;
   IndexVersion version;
   bool answered = false;
   std::vector<IndexVersion> held;
 };
 // Whether an instance reported on a part in time.
-struct PeerSeen {
+struct PeerObserved {
   InstanceId instance;
-  bool is_silent = false;
+  bool timed_out = false;
 };
 struct Finish {
   Answer answer;
 };
 using Action =
-    std::variant<SendPart, CancelPart, VersionSeen, PeerSeen, Finish>;
+    std::variant<SendPart, CancelPart, VersionObserved, PeerObserved, Finish>;
 
 // One request for some shards to one instance.
 struct PartState {
@@ -136,17 +136,17 @@
   // count as attempts.
   uint32_t generation = 0;
   // Indexes of the shards in the pinned plan that have no outcome yet.
-  std::vector<size_t> waiting;
+  std::vector<size_t> pending;
   // When the part times out without a report; kNever for parts run here and for
   // parts whose shards have been reassigned.
-  Millis silent_at = kNever;
+  Millis times_out_at = kNever;
   bool cancelled = false;
 };
 
 struct ShardState {
   bool answered = false;
   // Parts in flight that include the shard.
-  uint32_t asks = 0;
+  uint32_t requests = 0;
   // Instances the shard was requested from.
   std::vector<InstanceId> tried;
   // The last failure; kOk if none yet.
@@ -171,12 +171,12 @@
   uint64_t shards_answered = 0;
   std::vector<AnswerHit> hits;
   uint64_t attempts = 0;
-  uint32_t asked_again = 0;
+  uint32_t parts_reassigned = 0;
   // Set when a part was sent to another instance or an outcome says that an
   // attempt was sent.
   bool may_have_run = false;
   // With Prefer::kLatency: latency_grace after min_coverage was reached.
-  Millis good_enough_at = kNever;
+  Millis early_finish_at = kNever;
 };
 
 // A part id is the query id shifted by this many bits, plus a counter, so that
@@ -190,7 +190,7 @@
 // Applies an event and returns the actions to perform. Events after Finish are
 // ignored.
 std::vector<Action> Step(QueryState* state, Event event,
-                         const QueryWorld& world, Millis now);
+                         const QueryEnvironment& environment, Millis now);
 
 // When the query next needs a Tick if no other event occurs.
 Millis NextDue(const QueryState& state);
--- a/packages/routing/include/hibiscuspick/routing/query_runner.h
+++ b/packages/routing/include/hibiscuspick/routing/query_runner.h
@@ -11,15 +11,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "hibiscuspick/routing/ask_budget.h"
 #include "hibiscuspick/routing/query.h"
-#include "hibiscuspick/routing/silent_peers.h"
+#include "hibiscuspick/routing/reassign_budget.h"
+#include "hibiscuspick/routing/unresponsive_peers.h"
 
 namespace hibiscuspick::routing {
 
 // Callbacks of the runner. Each may call OnOutcomes or OnPeerFailed before it
 // returns.
-struct RunnerPorts {
+struct RunnerCallbacks {
   std::function<void(const InstanceId& to, const limits::PartRequest& part)>
       send_part;
   std::function<void(const limits::PartRequest& part)> run_local;
@@ -33,7 +33,8 @@
 class QueryRunner {
  public:
   // `instance` and `incarnation` identify this process in the fleet.
-  QueryRunner(InstanceId instance, Incarnation incarnation, RunnerPorts ports);
+  QueryRunner(InstanceId instance, Incarnation incarnation,
+              RunnerCallbacks callbacks);
 
   // Runs a query on the calling thread and returns its answer. `plans` returns
   // the manifests now known for the route; `stop` tells whether the caller has
@@ -62,25 +63,25 @@
   void Add(QueryId id, std::shared_ptr<Inbox> inbox);
   void Remove(QueryId id);
   bool Perform(std::vector<Action>* actions, Answer* answer);
-  void Learn(const VersionSeen& seen);
-  void Learn(const PeerSeen& seen);
+  void Record(const VersionObserved& seen);
+  void Record(const PeerObserved& seen);
   std::vector<InstanceId> Candidates(const ServiceId& service);
-  HeldVersions HeldNow();
+  HeldVersions CurrentHeldVersions();
 
   const InstanceId instance_;
   const Incarnation incarnation_;
-  const RunnerPorts ports_;
+  const RunnerCallbacks callbacks_;
   std::array<Stripe, kStripes> stripes_;
   std::atomic<uint64_t> last_query_{0};
   std::atomic<size_t> running_{0};
   std::mutex held_mutex_;
   HeldVersions held_;
   std::atomic<bool> held_empty_{true};
-  std::mutex silent_mutex_;
-  SilentPeers silent_;
-  std::atomic<bool> silent_empty_{true};
+  std::mutex unresponsive_mutex_;
+  UnresponsivePeers unresponsive_;
+  std::atomic<bool> unresponsive_empty_{true};
   std::mutex budget_mutex_;
-  AskBudget budget_;
+  ReassignBudget budget_;
 };
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/ask_budget.h
+++ b/packages/routing/include/hibiscuspick/routing/reassign_budget.h
@@ -10,17 +10,17 @@
 // for each shard reassigned. Under overload every owner is slow; without the
 // bound each timeout would double the load, and latency would stay high after
 // the traffic has fallen.
-struct AskBudget {
-  double share = 0.1;
+struct ReassignBudget {
+  double tokens_per_shard = 0.1;
   // Capacity, and the initial number of tokens: enough for the loss of an owner
   // of many shards soon after the start.
-  double most = 2000;
-  double left = 2000;
+  double capacity = 2000;
+  double tokens = 2000;
 };
 
-void Earn(AskBudget* budget, size_t shards);
+void AddTokens(ReassignBudget* budget, size_t shards);
 
 // Takes one token per shard. Returns false and takes none if there are too few.
-bool Spend(AskBudget* budget, size_t shards);
+bool TakeTokens(ReassignBudget* budget, size_t shards);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/include/hibiscuspick/routing/silent_peers.h
+++ b/packages/routing/include/hibiscuspick/routing/unresponsive_peers.h
@@ -11,9 +11,9 @@
 
 namespace hibiscuspick::routing {
 
-struct PeerSilence {
+struct PeerTimeouts {
   // Consecutive parts that timed out.
-  uint32_t parts = 0;
+  uint32_t timeouts = 0;
   Millis next_probe;
 };
 
@@ -21,24 +21,25 @@
 // membership removes it. Meanwhile each query would wait for owner_timeout,
 // visible as a second peak in the latency distribution. Holds only instances
 // with a timeout since their last report.
-struct SilentPeers {
-  std::unordered_map<InstanceId, PeerSilence> peers;
+struct UnresponsivePeers {
+  std::unordered_map<InstanceId, PeerTimeouts> peers;
 };
 
 // Consecutive timeouts after which an instance is a suspect.
 inline constexpr uint32_t kSuspectAfter = 3;
 
 // Interval at which a suspect is probed with a part.
-inline constexpr Millis kProbeEvery{250};
+inline constexpr Millis kProbeInterval{250};
 
 // Maximum instances tracked; further ones are ignored.
-inline constexpr size_t kMaxSilentPeers = 1000;
+inline constexpr size_t kMaxUnresponsivePeers = 1000;
 
-void NoteSilent(SilentPeers* silent, const InstanceId& peer, Millis now);
-void RecordContact(SilentPeers* silent, const InstanceId& peer);
+void RecordUnresponsive(UnresponsivePeers* unresponsive, const InstanceId& peer,
+                        Millis now);
+void RecordResponse(UnresponsivePeers* unresponsive, const InstanceId& peer);
 
 // Moves suspects to the end of the list, except those due for a probe.
-void PutSuspectsLast(SilentPeers* silent, std::vector<InstanceId>* candidates,
-                     Millis now);
+void PutSuspectsLast(UnresponsivePeers* unresponsive,
+                     std::vector<InstanceId>* candidates, Millis now);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/src/customer_limits.cc
+++ b/packages/routing/src/customer_limits.cc
@@ -8,49 +8,52 @@
 
 // Minimum interval between sweeps of a full table. Without it, each new name in
 // a flood would cost a sweep.
-constexpr Millis kSweepEvery{1000};
+constexpr Millis kSweepInterval{1000};
 
 // The overflow entry. No customer can have this name, since names in requests
 // are printable.
 constexpr char kOverflowName[] = "\x01overflow";
 
-constexpr Millis kRetrySoon{1000};
+constexpr Millis kDefaultRetryAfter{1000};
 
 double BurstOf(const CustomerRules& rules) {
   return std::max(1.0, rules.burst);
 }
 
-void Fill(CustomerUse* use, const CustomerRules& rules, Millis now) {
+void Refill(CustomerUsage* usage, const CustomerRules& rules, Millis now) {
   const double earned =
-      (now - use->filled).count / 1000 * rules.requests_per_second;
-  use->tokens = std::min(BurstOf(rules), use->tokens + std::max(0.0, earned));
-  use->filled = now;
+      (now - usage->refilled_at).count / 1000 * rules.requests_per_second;
+  usage->tokens =
+      std::min(BurstOf(rules), usage->tokens + std::max(0.0, earned));
+  usage->refilled_at = now;
 }
 
 // Evicts customers that have been idle long enough to have a full bucket. The
 // time is computed with the rules of the current customer; if another one's
 // rules differ, it gains at most one burst.
 void Sweep(CustomerLimits* limits, const CustomerRules& rules, Millis now) {
-  if (limits->swept.count > 0 && now - limits->swept < kSweepEvery) return;
-  limits->swept = now;
+  if (limits->last_sweep.count > 0 && now - limits->last_sweep < kSweepInterval)
+    return;
+  limits->last_sweep = now;
   const double rate = std::max(rules.requests_per_second, 0.001);
-  const Millis quiet{BurstOf(rules) / rate * 1000};
-  std::erase_if(limits->uses, [&](const auto& it) {
-    return it.second.running == 0 && now - it.second.filled >= quiet;
+  const Millis idle_time{BurstOf(rules) / rate * 1000};
+  std::erase_if(limits->customers, [&](const auto& it) {
+    return it.second.running == 0 && now - it.second.refilled_at >= idle_time;
   });
 }
 
-CustomerUse* UseOf(CustomerLimits* limits, CustomerId* entry,
-                   const CustomerRules& rules, Millis now) {
-  const auto it = limits->uses.find(*entry);
-  if (it != limits->uses.end()) return &it->second;
-  if (limits->uses.size() >= limits->max_customers) Sweep(limits, rules, now);
-  if (limits->uses.size() >= limits->max_customers) {
+CustomerUsage* UsageOf(CustomerLimits* limits, CustomerId* entry,
+                       const CustomerRules& rules, Millis now) {
+  const auto it = limits->customers.find(*entry);
+  if (it != limits->customers.end()) return &it->second;
+  if (limits->customers.size() >= limits->max_customers)
+    Sweep(limits, rules, now);
+  if (limits->customers.size() >= limits->max_customers) {
     *entry = CustomerId(kOverflowName);
   }
-  const auto [place, added] = limits->uses.try_emplace(*entry);
-  if (added) place->second = CustomerUse{BurstOf(rules), now, 0};
-  return &place->second;
+  const auto [inserted, added] = limits->customers.try_emplace(*entry);
+  if (added) inserted->second = CustomerUsage{BurstOf(rules), now, 0};
+  return &inserted->second;
 }
 
 }  // namespace
@@ -58,29 +61,30 @@
 Admission Admit(CustomerLimits* limits, const CustomerId& customer,
                 const CustomerRules& rules, Millis now) {
   Admission admission{false, customer, Millis(0)};
-  CustomerUse* use = UseOf(limits, &admission.entry, rules, now);
-  if (use->running >= rules.concurrency || rules.requests_per_second <= 0) {
-    admission.retry_after = kRetrySoon;
+  CustomerUsage* usage = UsageOf(limits, &admission.entry, rules, now);
+  if (usage->running >= rules.concurrency || rules.requests_per_second <= 0) {
+    admission.retry_after = kDefaultRetryAfter;
     return admission;
   }
   if (std::isfinite(rules.requests_per_second)) {
-    Fill(use, rules, now);
-    if (use->tokens < 1) {
-      const double missing = 1 - use->tokens;
+    Refill(usage, rules, now);
+    if (usage->tokens < 1) {
+      const double missing = 1 - usage->tokens;
       admission.retry_after =
           Millis(missing / rules.requests_per_second * 1000);
       return admission;
     }
-    use->tokens -= 1;
+    usage->tokens -= 1;
   }
-  ++use->running;
+  ++usage->running;
   admission.admitted = true;
   return admission;
 }
 
 void Release(CustomerLimits* limits, const CustomerId& entry) {
-  const auto it = limits->uses.find(entry);
-  if (it != limits->uses.end() && it->second.running > 0) --it->second.running;
+  const auto it = limits->customers.find(entry);
+  if (it != limits->customers.end() && it->second.running > 0)
+    --it->second.running;
 }
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/src/held_versions.cc
+++ b/packages/routing/src/held_versions.cc
@@ -14,14 +14,14 @@
                IndexVersion version, Millis now) {
   const auto it = held.reports.find(shard);
   if (it == held.reports.end()) return false;
-  if (now - it->second.seen > kHeldMemory) return false;
+  if (now - it->second.received_at > kHeldReportLifetime) return false;
   return !Contains(it->second.held, version);
 }
 
 }  // namespace
 
-void LearnRefused(HeldVersions* held, const ShardId& shard, IndexVersion asked,
-                  std::vector<IndexVersion> versions, Millis now) {
+void RecordRefusal(HeldVersions* held, const ShardId& shard, IndexVersion asked,
+                   std::vector<IndexVersion> versions, Millis now) {
   if (held->reports.size() >= kMaxHeldReports &&
       !held->reports.contains(shard)) {
     return;
@@ -30,20 +30,21 @@
   held->reports[shard] = HeldReport{std::move(versions), now};
 }
 
-void LearnAnswered(HeldVersions* held, const ShardId& shard,
-                   IndexVersion version) {
+void RecordAnswer(HeldVersions* held, const ShardId& shard,
+                  IndexVersion version) {
   const auto it = held->reports.find(shard);
   if (it == held->reports.end()) return;
   if (!Contains(it->second.held, version)) held->reports.erase(it);
 }
 
-void ForgetOld(HeldVersions* held, Millis now) {
+void RemoveExpired(HeldVersions* held, Millis now) {
   std::erase_if(held->reports, [now](const auto& it) {
-    return now - it.second.seen > kHeldMemory;
+    return now - it.second.received_at > kHeldReportLifetime;
   });
 }
 
-double PresumedShare(const Plan& plan, const HeldVersions& held, Millis now) {
+double ExpectedCoverage(const Plan& plan, const HeldVersions& held,
+                        Millis now) {
   if (plan.shards.empty()) return 0;
   uint64_t refused_documents = 0;
   size_t refused_shards = 0;
@@ -70,7 +71,7 @@
     if (plans[i]->shards.empty() || Contains(tried, plans[i]->version)) {
       continue;
     }
-    const double share = PresumedShare(*plans[i], held, now);
+    const double share = ExpectedCoverage(*plans[i], held, now);
     if (share <= best_share) continue;
     best = i;
     best_share = share;
--- a/packages/routing/src/merge.cc
+++ b/packages/routing/src/merge.cc
@@ -33,7 +33,7 @@
   return merged;
 }
 
-bool AreHitsSound(const std::vector<limits::Hit>& hits) {
+bool AreHitsValid(const std::vector<limits::Hit>& hits) {
   return std::all_of(hits.begin(), hits.end(), [](const limits::Hit& it) {
     return std::isfinite(it.score) && !it.id.empty();
   });
--- a/packages/routing/src/query_answer.cc
+++ b/packages/routing/src/query_answer.cc
@@ -3,17 +3,17 @@
 #include <map>
 #include <utility>
 
-#include "query_steps.h"
+#include "query_internal.h"
 
 namespace hibiscuspick::routing {
 namespace {
 
 // Retry-after time of transient refusals.
-constexpr Millis kRetryLater{1000};
+constexpr Millis kTransientRetryAfter{1000};
 
 // `is_early`: the query answers before its deadline.
 Code FailureOf(const ShardState& shard, bool is_early) {
-  if (shard.asks > 0) {
+  if (shard.requests > 0) {
     return is_early ? Code::kNotWaitedFor : Code::kDeadlineExceeded;
   }
   return shard.failure == Code::kOk ? Code::kNoServer : shard.failure;
@@ -21,7 +21,7 @@
 
 // The code of an answer without any shard: the most frequent code of its
 // shards; of equally frequent ones the lowest.
-Code CommonFailure(const std::vector<MissingShard>& missing) {
+Code MostFrequentFailure(const std::vector<MissingShard>& missing) {
   std::map<Code, size_t> counts;
   for (const auto& it : missing) ++counts[it.code];
   const auto most = std::max_element(
@@ -32,7 +32,7 @@
                                               : most->first;
 }
 
-bool PassesByItself(Code code) {
+bool IsTransient(Code code) {
   switch (code) {
     case Code::kQueueFull:
     case Code::kDeadlineUnreachable:
@@ -52,12 +52,12 @@
 bool MayHaveRun(const QueryState& state) {
   if (state.may_have_run) return true;
   return std::any_of(state.parts.begin(), state.parts.end(),
-                     [](const auto& it) { return !it.second.waiting.empty(); });
+                     [](const auto& it) { return !it.second.pending.empty(); });
 }
 
 uint64_t UnreportedAttempts(const QueryState& state) {
   uint64_t n = 0;
-  for (const auto& [id, part] : state.parts) n += part.waiting.size();
+  for (const auto& [id, part] : state.parts) n += part.pending.size();
   return n;
 }
 
@@ -71,7 +71,7 @@
   answer->shards_answered = state.shards_answered;
   answer->documents_covered = state.documents_covered;
   answer->coverage =
-      ShareOf(*state.plan, state.documents_covered, state.shards_answered);
+      CoverageOf(*state.plan, state.documents_covered, state.shards_answered);
   for (size_t i = 0; i < state.shards.size(); ++i) {
     if (state.shards[i].answered) continue;
     answer->missing.push_back({state.plan->shards[i].work.shard,
@@ -84,9 +84,9 @@
   answer.ran = MayHaveRun(*state) ? Ran::kMaybe : Ran::kNo;
   answer.attempts = state->attempts + UnreportedAttempts(*state);
   answer.restarts = state->generation;
-  answer.asked_again = state->asked_again;
-  answer.took = context->now - state->started;
-  if (PassesByItself(answer.code)) answer.retry_after = kRetryLater;
+  answer.parts_reassigned = state->parts_reassigned;
+  answer.elapsed = context->now - state->started;
+  if (IsTransient(answer.code)) answer.retry_after = kTransientRetryAfter;
   state->finished = true;
   CancelAll(context);
   context->actions.push_back(Finish{std::move(answer)});
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-double ShareOf(const Plan& plan, uint64_t documents, uint64_t shards) {
+double CoverageOf(const Plan& plan, uint64_t documents, uint64_t shards) {
   if (plan.documents_total > 0) {
     return static_cast<double>(documents) /
            static_cast<double>(plan.documents_total);
@@ -107,7 +107,8 @@
   QueryState* state = context->state;
   Answer answer;
   DescribePlan(*state, context->now, &answer);
-  if (state->shards_answered == 0) answer.code = CommonFailure(answer.missing);
+  if (state->shards_answered == 0)
+    answer.code = MostFrequentFailure(answer.missing);
   answer.hits = MergeHits(std::move(state->hits), state->request.limit);
   Finalize(context, std::move(answer));
 }
--- a/packages/routing/src/query_steps.h
+++ b/packages/routing/src/query_internal.h
@@ -11,7 +11,7 @@
 // Context of one call of Step.
 struct StepContext {
   QueryState* state;
-  const QueryWorld& world;
+  const QueryEnvironment& environment;
   Millis now;
   std::vector<Action> actions;
 };
@@ -23,10 +23,10 @@
 // Requests the shards, in one part for each instance that is the next candidate
 // of any of them. Returns the number of parts. Shards without another candidate
 // are left as they are.
-size_t AskShards(StepContext* context, const std::vector<size_t>& shards);
+size_t RequestShards(StepContext* context, const std::vector<size_t>& shards);
 
 // Cancels the parts none of whose shards is still needed, or all parts.
-void CancelUnwanted(StepContext* context);
+void CancelUnneeded(StepContext* context);
 void CancelAll(StepContext* context);
 
 // Finishes the query with the results so far, or with a failure code.
@@ -35,6 +35,6 @@
 
 // The share of the plan's documents, 0 to 1; of its shards if the plan has no
 // document counts.
-double ShareOf(const Plan& plan, uint64_t documents, uint64_t shards);
+double CoverageOf(const Plan& plan, uint64_t documents, uint64_t shards);
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/src/query_parts.cc
+++ b/packages/routing/src/query_parts.cc
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-#include "query_steps.h"
+#include "query_internal.h"
 
 namespace hibiscuspick::routing {
 namespace {
@@ -21,13 +21,13 @@
 std::optional<InstanceId> NextCandidate(
     const StepContext& context, const ShardState& shard,
     const std::vector<InstanceId>& candidates) {
-  const size_t most =
+  const size_t max_tries =
       std::max(1U, context.state->request.values.max_candidates);
-  if (shard.tried.size() >= most) return std::nullopt;
-  const InstanceId& self = context.world.self;
+  if (shard.tried.size() >= max_tries) return std::nullopt;
+  const InstanceId& self = context.environment.self;
   const bool has_self =
       std::find(candidates.begin(), candidates.end(), self) != candidates.end();
-  if (shard.tried.size() + 1 == most && most > 1 && has_self &&
+  if (shard.tried.size() + 1 == max_tries && max_tries > 1 && has_self &&
       !WasTried(shard, self)) {
     return self;
   }
@@ -41,7 +41,7 @@
                              const std::vector<size_t>& shards) {
   const QueryState& state = *context.state;
   limits::PartRequest part;
-  part.origin = {context.world.self, context.world.incarnation, id};
+  part.origin = {context.environment.self, context.environment.incarnation, id};
   part.customer = state.request.customer;
   part.route = state.request.route;
   part.lane = state.request.values.lane;
@@ -59,34 +59,34 @@
           std::vector<size_t> shards) {
   QueryState* state = context->state;
   const PartId id((state->id.value << kPartBits) + ++state->next_part);
-  const bool is_local = to == context->world.self;
+  const bool is_local = to == context->environment.self;
   if (!is_local) state->may_have_run = true;
   for (const size_t i : shards) {
     state->shards[i].tried.push_back(to);
-    ++state->shards[i].asks;
+    ++state->shards[i].requests;
   }
   context->actions.push_back(SendPart{to, MakePart(*context, id, shards)});
   PartState part;
   part.at = to;
   part.generation = state->generation;
-  part.waiting = std::move(shards);
+  part.pending = std::move(shards);
   if (!is_local) {
-    part.silent_at = context->now + state->request.values.owner_timeout;
+    part.times_out_at = context->now + state->request.values.owner_timeout;
   }
   state->parts.emplace(id, std::move(part));
 }
 
 }  // namespace
 
-size_t AskShards(StepContext* context, const std::vector<size_t>& shards) {
+size_t RequestShards(StepContext* context, const std::vector<size_t>& shards) {
   QueryState* state = context->state;
-  if (context->now >= Min(state->finish_by, state->good_enough_at)) return 0;
+  if (context->now >= Min(state->finish_by, state->early_finish_at)) return 0;
   std::map<ServiceId, std::vector<InstanceId>> candidates;
   std::map<InstanceId, std::vector<size_t>> groups;
   for (const size_t i : shards) {
     const ServiceId& service = state->plan->shards[i].work.service;
     const auto [it, added] = candidates.try_emplace(service);
-    if (added) it->second = context->world.candidates(service);
+    if (added) it->second = context->environment.candidates(service);
     const auto next = NextCandidate(*context, state->shards[i], it->second);
     if (next) groups[*next].push_back(i);
   }
@@ -101,31 +101,31 @@
   state->documents_covered = 0;
   state->shards_answered = 0;
   state->hits.clear();
-  state->good_enough_at = kNever;
+  state->early_finish_at = kNever;
   state->shards.assign(state->plan->shards.size(), ShardState{});
   std::vector<size_t> all(state->shards.size());
   for (size_t i = 0; i < all.size(); ++i) all[i] = i;
-  AskShards(context, all);
+  RequestShards(context, all);
 }
 
-void CancelUnwanted(StepContext* context) {
+void CancelUnneeded(StepContext* context) {
   QueryState* state = context->state;
   for (auto& [id, part] : state->parts) {
-    if (part.cancelled || part.waiting.empty()) continue;
-    const bool wanted =
+    if (part.cancelled || part.pending.empty()) continue;
+    const bool needed =
         part.generation == state->generation &&
-        std::any_of(part.waiting.begin(), part.waiting.end(),
+        std::any_of(part.pending.begin(), part.pending.end(),
                     [&](size_t i) { return !state->shards[i].answered; });
-    if (wanted) continue;
+    if (needed) continue;
     part.cancelled = true;
-    part.silent_at = kNever;
+    part.times_out_at = kNever;
     context->actions.push_back(CancelPart{part.at, id});
   }
 }
 
 void CancelAll(StepContext* context) {
   for (auto& [id, part] : context->state->parts) {
-    if (part.cancelled || part.waiting.empty()) continue;
+    if (part.cancelled || part.pending.empty()) continue;
     part.cancelled = true;
     context->actions.push_back(CancelPart{part.at, id});
   }
--- a/packages/routing/src/query_runner.cc
+++ b/packages/routing/src/query_runner.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // How often a waiting query checks whether its caller has disconnected.
-constexpr Millis kCallerPoll{5};
+constexpr Millis kCallerPollInterval{5};
 
 void LogPin(const QueryState& state) {
   if (!state.plan) return;
@@ -27,7 +27,7 @@
           "restarts, {} parts reassigned, {:.1f} ms",
           state.id.value, CodeName(answer.code), answer.documents_covered,
           answer.documents_total, answer.attempts, answer.restarts,
-          answer.asked_again, answer.took.count);
+          answer.parts_reassigned, answer.elapsed.count);
 }
 
 }  // namespace
@@ -56,10 +56,10 @@
 };
 
 QueryRunner::QueryRunner(InstanceId instance, Incarnation incarnation,
-                         RunnerPorts ports)
+                         RunnerCallbacks callbacks)
     : instance_(std::move(instance)),
       incarnation_(incarnation),
-      ports_(std::move(ports)) {}
+      callbacks_(std::move(callbacks)) {}
 
 void QueryRunner::Add(QueryId id, std::shared_ptr<Inbox> inbox) {
   Stripe& stripe = StripeOf(id);
@@ -80,33 +80,34 @@
   ++running_;
   const auto inbox = std::make_shared<Inbox>();
   Add(id, inbox);
-  QueryWorld world;
-  world.self = instance_;
-  world.incarnation = incarnation_;
-  world.candidates = [this](const ServiceId& service) {
+  QueryEnvironment environment;
+  environment.self = instance_;
+  environment.incarnation = incarnation_;
+  environment.candidates = [this](const ServiceId& service) {
     return Candidates(service);
   };
-  world.plans = plans;
-  world.may_ask_again = [this](size_t shards) {
+  environment.plans = plans;
+  environment.may_reassign = [this](size_t shards) {
     const std::lock_guard lock(budget_mutex_);
-    return Spend(&budget_, shards);
+    return TakeTokens(&budget_, shards);
   };
 
   QueryState state = MakeQuery(std::move(request), id, arrived);
   Answer answer;
   uint32_t logged = 0;
   const auto advance = [&](Event event) {
-    auto actions = Step(&state, std::move(event), world, SteadyNow());
+    auto actions = Step(&state, std::move(event), environment, SteadyNow());
     if (logged <= state.generation) {
       LogPin(state);
       logged = state.generation + 1;
     }
     return Perform(&actions, &answer);
   };
-  bool done = advance(Started{HeldNow()});
+  bool done = advance(Started{CurrentHeldVersions()});
   while (!done) {
     const Millis now = SteadyNow();
-    auto events = inbox->WaitUntil(Min(NextDue(state), now + kCallerPoll));
+    auto events =
+        inbox->WaitUntil(Min(NextDue(state), now + kCallerPollInterval));
     for (auto& it : events) done = done || advance(std::move(it));
     if (!done && stop()) done = advance(CallerGone{});
     if (!done && SteadyNow() >= NextDue(state)) done = advance(Tick{});
@@ -130,19 +131,19 @@
               send->part.origin.part.value);
       {
         const std::lock_guard lock(budget_mutex_);
-        Earn(&budget_, send->part.shards.size());
+        AddTokens(&budget_, send->part.shards.size());
       }
       if (send->to == instance_) {
-        ports_.run_local(send->part);
+        callbacks_.run_local(send->part);
       } else {
-        ports_.send_part(send->to, send->part);
+        callbacks_.send_part(send->to, send->part);
       }
     } else if (const auto* cancel = std::get_if<CancelPart>(&action)) {
-      ports_.cancel_part(cancel->at, cancel->part);
-    } else if (const auto* seen = std::get_if<VersionSeen>(&action)) {
-      Learn(*seen);
-    } else if (const auto* peer = std::get_if<PeerSeen>(&action)) {
-      Learn(*peer);
+      callbacks_.cancel_part(cancel->at, cancel->part);
+    } else if (const auto* seen = std::get_if<VersionObserved>(&action)) {
+      Record(*seen);
+    } else if (const auto* observed = std::get_if<PeerObserved>(&action)) {
+      Record(*observed);
     } else if (auto* finish = std::get_if<Finish>(&action)) {
       *answer = std::move(finish->answer);
       done = true;
@@ -172,43 +173,43 @@
   }
 }
 
-void QueryRunner::Learn(const VersionSeen& seen) {
+void QueryRunner::Record(const VersionObserved& seen) {
   if (seen.answered && held_empty_) return;
   const std::lock_guard lock(held_mutex_);
   if (seen.answered) {
-    LearnAnswered(&held_, seen.shard, seen.version);
+    RecordAnswer(&held_, seen.shard, seen.version);
   } else {
-    LearnRefused(&held_, seen.shard, seen.version, seen.held, SteadyNow());
+    RecordRefusal(&held_, seen.shard, seen.version, seen.held, SteadyNow());
   }
   held_empty_ = held_.reports.empty();
 }
 
-void QueryRunner::Learn(const PeerSeen& seen) {
-  if (!seen.is_silent && silent_empty_) return;
-  const std::lock_guard lock(silent_mutex_);
-  if (seen.is_silent) {
-    NoteSilent(&silent_, seen.instance, SteadyNow());
+void QueryRunner::Record(const PeerObserved& seen) {
+  if (!seen.timed_out && unresponsive_empty_) return;
+  const std::lock_guard lock(unresponsive_mutex_);
+  if (seen.timed_out) {
+    RecordUnresponsive(&unresponsive_, seen.instance, SteadyNow());
     Log(Part::kRoute)
         .info("instance {} sent no outcome of a part in time",
               seen.instance.text);
   } else {
-    RecordContact(&silent_, seen.instance);
+    RecordResponse(&unresponsive_, seen.instance);
   }
-  silent_empty_ = silent_.peers.empty();
+  unresponsive_empty_ = unresponsive_.peers.empty();
 }
 
 std::vector<InstanceId> QueryRunner::Candidates(const ServiceId& service) {
-  std::vector<InstanceId> candidates = ports_.candidates(service);
-  if (silent_empty_) return candidates;
-  const std::lock_guard lock(silent_mutex_);
-  PutSuspectsLast(&silent_, &candidates, SteadyNow());
+  std::vector<InstanceId> candidates = callbacks_.candidates(service);
+  if (unresponsive_empty_) return candidates;
+  const std::lock_guard lock(unresponsive_mutex_);
+  PutSuspectsLast(&unresponsive_, &candidates, SteadyNow());
   return candidates;
 }
 
-HeldVersions QueryRunner::HeldNow() {
+HeldVersions QueryRunner::CurrentHeldVersions() {
   if (held_empty_) return {};
   const std::lock_guard lock(held_mutex_);
-  ForgetOld(&held_, SteadyNow());
+  RemoveExpired(&held_, SteadyNow());
   held_empty_ = held_.reports.empty();
   return held_;
 }
--- a/packages/routing/tests/query_driver.h
+++ b/packages/routing/tests/query_driver.h
@@ -52,13 +52,13 @@
   // Every service has the same candidates.
   std::vector<InstanceId> candidates{InstanceId("a"), InstanceId("b"),
                                      InstanceId("self")};
-  bool may_ask_again = true;
+  bool may_reassign = true;
   QueryRequest request;
   QueryState state;
   Millis now{1000};
   std::vector<SendPart> sent;
   std::vector<CancelPart> cancelled;
-  std::vector<VersionSeen> seen;
+  std::vector<VersionObserved> observed_versions;
   std::optional<Answer> answer;
 
   explicit QueryDriver(Plans known) : plans(std::move(known)) {
@@ -72,39 +72,40 @@
 
   void Start(HeldVersions held = {}) {
     state = MakeQuery(request, QueryId(7), now);
-    Do(Started{std::move(held)});
+    Handle(Started{std::move(held)});
   }
 
-  void Do(const Event& event) {
-    QueryWorld world;
-    world.self = InstanceId("self");
-    world.incarnation = Incarnation(3);
-    world.candidates = [this](const ServiceId&) { return candidates; };
-    world.plans = [this] { return plans; };
-    world.may_ask_again = [this](size_t) { return may_ask_again; };
-    for (const auto& it : Step(&state, event, world, now)) Keep(it);
+  void Handle(const Event& event) {
+    QueryEnvironment environment;
+    environment.self = InstanceId("self");
+    environment.incarnation = Incarnation(3);
+    environment.candidates = [this](const ServiceId&) { return candidates; };
+    environment.plans = [this] { return plans; };
+    environment.may_reassign = [this](size_t) { return may_reassign; };
+    for (const auto& it : Step(&state, event, environment, now)) Collect(it);
   }
 
-  void Keep(const Action& action) {
+  void Collect(const Action& action) {
     if (const auto* send = std::get_if<SendPart>(&action)) {
       sent.push_back(*send);
     } else if (const auto* cancel = std::get_if<CancelPart>(&action)) {
       cancelled.push_back(*cancel);
-    } else if (const auto* version = std::get_if<VersionSeen>(&action)) {
-      seen.push_back(*version);
+    } else if (const auto* version = std::get_if<VersionObserved>(&action)) {
+      observed_versions.push_back(*version);
     } else if (const auto* finish = std::get_if<Finish>(&action)) {
       answer = finish->answer;
     }
   }
 
   // Delivers outcomes of the part sent as number `part`, counted from 0.
-  void Arrive(size_t part, std::vector<limits::ShardOutcome> outcomes) {
-    Do(OutcomesArrived{sent.at(part).part.origin.part, std::move(outcomes)});
+  void Deliver(size_t part, std::vector<limits::ShardOutcome> outcomes) {
+    Handle(
+        OutcomesArrived{sent.at(part).part.origin.part, std::move(outcomes)});
   }
 
   void TickAt(double after_start) {
     now = Millis(1000 + after_start);
-    Do(Tick{});
+    Handle(Tick{});
   }
 };
 
--- a/packages/routing/tests/query_runner_test.cc
+++ b/packages/routing/tests/query_runner_test.cc
@@ -10,12 +10,12 @@
 namespace hibiscuspick::routing {
 
 // A time only reached by a hang, also on a slow machine.
-constexpr Millis kHang{60000};
+constexpr Millis kHangTimeout{60000};
 
 QueryRequest LongQuery() {
   QueryRequest request;
-  request.deadline = kHang;
-  request.values.owner_timeout = kHang;
+  request.deadline = kHangTimeout;
+  request.values.owner_timeout = kHangTimeout;
   request.values.prefer = settings::Prefer::kCoverage;
   return request;
 }
@@ -27,32 +27,32 @@
   return outcomes;
 }
 
-RunnerPorts QuietPorts() {
-  RunnerPorts ports;
-  ports.send_part = [](const InstanceId&, const limits::PartRequest&) {};
-  ports.run_local = [](const limits::PartRequest&) {};
-  ports.cancel_part = [](const InstanceId&, PartId) {};
-  ports.candidates = [](const ServiceId&) {
+RunnerCallbacks NoOpCallbacks() {
+  RunnerCallbacks callbacks;
+  callbacks.send_part = [](const InstanceId&, const limits::PartRequest&) {};
+  callbacks.run_local = [](const limits::PartRequest&) {};
+  callbacks.cancel_part = [](const InstanceId&, PartId) {};
+  callbacks.candidates = [](const ServiceId&) {
     return std::vector{InstanceId("self")};
   };
-  return ports;
+  return callbacks;
 }
 
 Plans OnePlan() { return {TestPlan(7, 6)}; }
 
-BOOST_AUTO_TEST_CASE(queries_of_many_threads_get_their_own_answers) {
+BOOST_AUTO_TEST_CASE(concurrent_queries_get_their_own_answers) {
   QueryRunner* target = nullptr;
   std::mutex mutex;
   std::vector<limits::PartRequest> parts;
   std::condition_variable wake;
   bool stopping = false;
-  RunnerPorts ports = QuietPorts();
-  ports.run_local = [&](const limits::PartRequest& part) {
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.run_local = [&](const limits::PartRequest& part) {
     const std::lock_guard lock(mutex);
     parts.push_back(part);
     wake.notify_one();
   };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   target = &runner;
   std::thread worker([&] {
     std::unique_lock lock(mutex);
@@ -97,13 +97,13 @@
 
 // The local executor may deliver outcomes on the calling thread before
 // run_local returns. A runner that held a lock meanwhile would deadlock.
-BOOST_AUTO_TEST_CASE(outcomes_may_come_from_within_the_send) {
+BOOST_AUTO_TEST_CASE(outcomes_may_arrive_during_the_send) {
   QueryRunner* target = nullptr;
-  RunnerPorts ports = QuietPorts();
-  ports.run_local = [&](const limits::PartRequest& part) {
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.run_local = [&](const limits::PartRequest& part) {
     target->OnOutcomes(part.origin.part, AnswerAll(part));
   };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   target = &runner;
   const Answer answer =
       runner.Run(LongQuery(), SteadyNow(), OnePlan, [] { return false; });
@@ -112,31 +112,31 @@
 
 // The connection to the owner fails during the send. The query continues at the
 // next instance instead of waiting for the deadline.
-BOOST_AUTO_TEST_CASE(a_send_that_fails_at_once_is_asked_elsewhere) {
+BOOST_AUTO_TEST_CASE(a_part_whose_send_fails_is_reassigned) {
   QueryRunner* target = nullptr;
-  RunnerPorts ports = QuietPorts();
-  ports.candidates = [](const ServiceId&) {
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.candidates = [](const ServiceId&) {
     return std::vector{InstanceId("a"), InstanceId("self")};
   };
-  ports.send_part = [&](const InstanceId& to, const limits::PartRequest&) {
+  callbacks.send_part = [&](const InstanceId& to, const limits::PartRequest&) {
     target->OnPeerFailed(to);
   };
-  ports.run_local = [&](const limits::PartRequest& part) {
+  callbacks.run_local = [&](const limits::PartRequest& part) {
     target->OnOutcomes(part.origin.part, AnswerAll(part));
   };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   target = &runner;
   const Answer answer =
       runner.Run(LongQuery(), SteadyNow(), OnePlan, [] { return false; });
   BOOST_TEST(answer.coverage == 1);
-  BOOST_TEST(answer.asked_again == 1U);
+  BOOST_TEST(answer.parts_reassigned == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_gone_ends_the_wait) {
+BOOST_AUTO_TEST_CASE(a_disconnected_caller_ends_the_query) {
   std::atomic<int> cancelled{0};
-  RunnerPorts ports = QuietPorts();
-  ports.cancel_part = [&](const InstanceId&, PartId) { ++cancelled; };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.cancel_part = [&](const InstanceId&, PartId) { ++cancelled; };
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   const Answer answer =
       runner.Run(LongQuery(), SteadyNow(), OnePlan, [] { return true; });
   BOOST_TEST((answer.code == Code::kCallerGone));
@@ -146,20 +146,21 @@
 // An owner hangs while its connections stay open. After a few timeouts, queries
 // go to the second owner at once; when the first answers a probe, it is used
 // again as before.
-BOOST_AUTO_TEST_CASE(a_hanging_owner_is_soon_passed_over) {
+BOOST_AUTO_TEST_CASE(a_hanging_owner_is_deprioritized) {
   QueryRunner* target = nullptr;
   std::atomic<bool> hangs{true};
   std::atomic<int> asked{0};
-  RunnerPorts ports = QuietPorts();
-  ports.candidates = [](const ServiceId&) {
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.candidates = [](const ServiceId&) {
     return std::vector{InstanceId("a"), InstanceId("b"), InstanceId("self")};
   };
-  ports.send_part = [&](const InstanceId& to, const limits::PartRequest& part) {
+  callbacks.send_part = [&](const InstanceId& to,
+                            const limits::PartRequest& part) {
     if (to.text == "a") ++asked;
     if (to.text == "a" && hangs) return;
     target->OnOutcomes(part.origin.part, AnswerAll(part));
   };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   target = &runner;
   QueryRequest request = LongQuery();
   request.values.owner_timeout = Millis(1);
@@ -171,29 +172,29 @@
   for (int i = 0; i < 50; ++i) {
     const Answer answer = run();
     BOOST_TEST(answer.coverage == 1);
-    if (answer.asked_again > 0) ++waited;
+    if (answer.parts_reassigned > 0) ++waited;
   }
   BOOST_TEST(waited >= static_cast<int>(kSuspectAfter));
   BOOST_TEST(waited == asked);
   hangs = false;
   asked = 0;
   while (asked < 5) run();
-  BOOST_TEST(run().asked_again == 0U);
+  BOOST_TEST(run().parts_reassigned == 0U);
 }
 
 // A shard refused a version. Later queries pin the older version from the start
 // instead of each paying for a restart.
-BOOST_AUTO_TEST_CASE(what_one_query_learns_of_versions_the_next_one_uses) {
+BOOST_AUTO_TEST_CASE(held_versions_are_shared_between_queries) {
   QueryRunner* target = nullptr;
   std::vector<uint64_t> versions;
-  RunnerPorts ports = QuietPorts();
-  ports.run_local = [&](const limits::PartRequest& part) {
+  RunnerCallbacks callbacks = NoOpCallbacks();
+  callbacks.run_local = [&](const limits::PartRequest& part) {
     versions.push_back(part.version.value);
     auto outcomes = AnswerAll(part);
     if (part.version == IndexVersion(8)) outcomes[0] = Refused("p1", {7});
     target->OnOutcomes(part.origin.part, outcomes);
   };
-  QueryRunner runner(InstanceId("self"), Incarnation(1), ports);
+  QueryRunner runner(InstanceId("self"), Incarnation(1), callbacks);
   target = &runner;
   const auto plans = [] { return Plans{TestPlan(8, 6), TestPlan(7, 6)}; };
   for (int i = 0; i < 2; ++i) {
--- a/packages/routing/tests/query_test.cc
+++ b/packages/routing/tests/query_test.cc
@@ -9,7 +9,7 @@
 
 namespace data = boost::unit_test::data;
 
-BOOST_AUTO_TEST_CASE(all_shards_of_one_instance_travel_in_one_part) {
+BOOST_AUTO_TEST_CASE(shards_of_one_instance_are_sent_in_one_part) {
   QueryDriver driver({TestPlan(7, 4)});
   driver.Start();
   BOOST_TEST_REQUIRE(driver.sent.size() == 1);
@@ -22,13 +22,13 @@
   BOOST_TEST((QueryOf(part.origin.part) == QueryId(7)));
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_is_given_when_the_last_shard_arrives) {
+BOOST_AUTO_TEST_CASE(a_query_finishes_with_its_last_shard) {
   QueryDriver driver({TestPlan(7, 3)});
   driver.Start();
-  driver.Arrive(0, {Answered("p1", {{"d2", 0.5, "{}"}, {"d1", 0.5, "{}"}})});
-  driver.Arrive(0, {Answered("p2", {{"d9", 0.9, "{}"}})});
+  driver.Deliver(0, {Answered("p1", {{"d2", 0.5, "{}"}, {"d1", 0.5, "{}"}})});
+  driver.Deliver(0, {Answered("p2", {{"d9", 0.9, "{}"}})});
   BOOST_TEST(!driver.answer.has_value());
-  driver.Arrive(0, {Answered("p3")});
+  driver.Deliver(0, {Answered("p3")});
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == 300);
   BOOST_TEST(driver.answer->coverage == 1);
@@ -41,7 +41,7 @@
 
 // Far more hits arrive than are requested. The best of all are kept, including
 // those of the first shards.
-BOOST_AUTO_TEST_CASE(the_best_hits_survive_the_pruning) {
+BOOST_AUTO_TEST_CASE(pruning_keeps_the_best_hits) {
   QueryDriver driver({TestPlan(7, 60)});
   driver.Start();
   for (int shard = 1; shard <= 60; ++shard) {
@@ -51,7 +51,7 @@
       hits.push_back(
           {std::to_string(shard) + "." + std::to_string(i), score, "{}"});
     }
-    driver.Arrive(0, {Answered("p" + std::to_string(shard), hits)});
+    driver.Deliver(0, {Answered("p" + std::to_string(shard), hits)});
     BOOST_TEST(driver.state.hits.size() <= 45U);
   }
   BOOST_TEST_REQUIRE(driver.answer->hits.size() == 5U);
@@ -64,7 +64,7 @@
   double min_coverage;
   int answered;
   // Time of the answer, in milliseconds after the start.
-  double ends;
+  double ends_at;
   uint64_t covered;
 };
 std::ostream& operator<<(std::ostream& out, const EndCase& it) {
@@ -84,34 +84,34 @@
   QueryDriver driver({TestPlan(7, 4)});
   driver.request.values.prefer = it.prefer;
   driver.request.min_coverage = it.min_coverage;
-  driver.may_ask_again = false;
+  driver.may_reassign = false;
   driver.Start();
   for (int i = 1; i <= it.answered; ++i) {
-    driver.Arrive(0, {Answered("p" + std::to_string(i))});
+    driver.Deliver(0, {Answered("p" + std::to_string(i))});
   }
-  driver.TickAt(it.ends - 0.5);
+  driver.TickAt(it.ends_at - 0.5);
   BOOST_TEST(!driver.answer.has_value());
-  driver.TickAt(it.ends);
+  driver.TickAt(it.ends_at);
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == it.covered);
   BOOST_TEST(driver.answer->missing.size() ==
              static_cast<size_t>(4 - it.answered));
   const Code code =
-      it.ends < 100 ? Code::kNotWaitedFor : Code::kDeadlineExceeded;
+      it.ends_at < 100 ? Code::kNotWaitedFor : Code::kDeadlineExceeded;
   BOOST_TEST((driver.answer->missing[0].code == code));
   BOOST_TEST(driver.cancelled.size() == 1);
 }
 
 // Outcomes arrive twice, or for shards or parts that were not requested. If
 // they counted, coverage would be too high or a hit would appear twice.
-BOOST_AUTO_TEST_CASE(only_the_first_whole_outcome_of_a_shard_counts) {
+BOOST_AUTO_TEST_CASE(only_the_first_outcome_of_a_shard_counts) {
   QueryDriver driver({TestPlan(7, 3)});
   driver.Start();
-  driver.Arrive(0, {Answered("p1", {{"d1", 1, "{}"}})});
-  driver.Arrive(0, {Answered("p1", {{"d1", 1, "{}"}})});
-  driver.Arrive(0, {Answered("p99", {{"d99", 1, "{}"}})});
-  driver.Do(OutcomesArrived{PartId((7ULL << kPartBits) + 900),
-                            {Answered("p2"), Answered("p3")}});
+  driver.Deliver(0, {Answered("p1", {{"d1", 1, "{}"}})});
+  driver.Deliver(0, {Answered("p1", {{"d1", 1, "{}"}})});
+  driver.Deliver(0, {Answered("p99", {{"d99", 1, "{}"}})});
+  driver.Handle(OutcomesArrived{PartId((7ULL << kPartBits) + 900),
+                                {Answered("p2"), Answered("p3")}});
   BOOST_TEST(!driver.answer.has_value());
   driver.TickAt(100);
   BOOST_TEST_REQUIRE(driver.answer.has_value());
@@ -122,11 +122,11 @@
 
 // A backend server returns NaN as a score, which has no order. The order of the
 // hits would change from call to call.
-BOOST_AUTO_TEST_CASE(hits_that_can_not_be_ordered_fail_their_shard) {
+BOOST_AUTO_TEST_CASE(a_nan_score_fails_its_shard) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
-  driver.Arrive(0, {Answered("p1", {{"d1", std::nan(""), "{}"}}),
-                    Answered("p2", {{"d2", 1, "{}"}})});
+  driver.Deliver(0, {Answered("p1", {{"d1", std::nan(""), "{}"}}),
+                     Answered("p2", {{"d2", 1, "{}"}})});
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == 100);
   BOOST_TEST((driver.answer->missing[0].code == Code::kBadReply));
@@ -135,7 +135,7 @@
 // The owner of some shards hangs without closing its connection. Its shards are
 // requested from the next instance instead of waiting for the deadline, and
 // late outcomes of the first are not counted twice.
-BOOST_AUTO_TEST_CASE(a_silent_owner_is_passed_over) {
+BOOST_AUTO_TEST_CASE(parts_of_an_unresponsive_owner_are_reassigned) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
   driver.TickAt(29);
@@ -146,16 +146,16 @@
   BOOST_TEST(
       (driver.sent[0].part.origin.part != driver.sent[1].part.origin.part));
   BOOST_TEST(driver.sent[1].part.time_left.count == 70);
-  driver.Arrive(1, {Answered("p1", {{"d1", 1, "{}"}})});
-  driver.Arrive(0, {Answered("p1", {{"d1", 1, "{}"}}),
-                    Answered("p2", {{"d2", 1, "{}"}})});
+  driver.Deliver(1, {Answered("p1", {{"d1", 1, "{}"}})});
+  driver.Deliver(0, {Answered("p1", {{"d1", 1, "{}"}}),
+                     Answered("p2", {{"d2", 1, "{}"}})});
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == 200);
   BOOST_TEST(driver.answer->hits.size() == 2);
   // Three outcomes, plus the shard that the second instance is still working
   // on.
   BOOST_TEST(driver.answer->attempts == 4);
-  BOOST_TEST(driver.answer->asked_again == 1);
+  BOOST_TEST(driver.answer->parts_reassigned == 1);
   BOOST_TEST_REQUIRE(driver.cancelled.size() == 1);
   BOOST_TEST(driver.cancelled[0].at.text == "b");
 }
@@ -163,23 +163,23 @@
 // Every owner is slow from overload. Requesting each part from another instance
 // as well would double the load; the budget prevents it, and the first owners'
 // outcomes form the answer.
-BOOST_AUTO_TEST_CASE(asking_again_stops_when_the_budget_is_spent) {
+BOOST_AUTO_TEST_CASE(the_budget_bounds_reassignment) {
   QueryDriver driver({TestPlan(7, 2)});
-  driver.may_ask_again = false;
+  driver.may_reassign = false;
   driver.Start();
   driver.TickAt(30);
   driver.TickAt(60);
   BOOST_TEST(driver.sent.size() == 1);
-  driver.Arrive(0, {Answered("p1"), Answered("p2")});
+  driver.Deliver(0, {Answered("p1"), Answered("p2")});
   BOOST_TEST(driver.answer->coverage == 1);
 }
 
 // An owner with a long queue sends keepalives. It must not time out.
-BOOST_AUTO_TEST_CASE(an_empty_report_keeps_an_owner_from_counting_as_silent) {
+BOOST_AUTO_TEST_CASE(an_empty_report_extends_the_owner_timeout) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
   driver.now = Millis(1025);
-  driver.Arrive(0, {});
+  driver.Deliver(0, {});
   driver.TickAt(50);
   BOOST_TEST(driver.sent.size() == 1);
   BOOST_TEST(NextDue(driver.state).count == 1055);
@@ -187,15 +187,15 @@
 
 // Instances fail one after another. The query ends up running its shards on
 // this instance, and only then has no candidate left.
-BOOST_AUTO_TEST_CASE(failed_instances_are_passed_over_down_to_sending_here) {
+BOOST_AUTO_TEST_CASE(failed_instances_are_replaced_down_to_this_one) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
-  driver.Do(PeerFailed{InstanceId("a")});
-  driver.Do(PeerFailed{InstanceId("b")});
+  driver.Handle(PeerFailed{InstanceId("a")});
+  driver.Handle(PeerFailed{InstanceId("b")});
   BOOST_TEST_REQUIRE(driver.sent.size() == 3);
   BOOST_TEST(driver.sent[2].to.text == "self");
-  driver.Arrive(2,
-                {Failed("p1", Code::kConnectFailed, Ran::kNo), Answered("p2")});
+  driver.Deliver(
+      2, {Failed("p1", Code::kConnectFailed, Ran::kNo), Answered("p2")});
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST(driver.answer->documents_covered == 100);
   BOOST_TEST((driver.answer->missing[0].code == Code::kConnectFailed));
@@ -203,30 +203,30 @@
 
 // An owner times out and then reports that it can't serve. The instance that
 // took over is still working, so the shard is not requested a third time.
-BOOST_AUTO_TEST_CASE(a_shard_that_is_being_asked_for_is_not_asked_again) {
+BOOST_AUTO_TEST_CASE(a_shard_in_flight_is_not_requested_again) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.Start();
   driver.TickAt(30);
-  driver.Arrive(0, {Failed("p1", Code::kNotReady, Ran::kNo)});
+  driver.Deliver(0, {Failed("p1", Code::kNotReady, Ran::kNo)});
   BOOST_TEST(driver.sent.size() == 2);
   BOOST_TEST(!driver.answer.has_value());
-  driver.Arrive(1, {Answered("p1")});
+  driver.Deliver(1, {Answered("p1")});
   BOOST_TEST(driver.answer->coverage == 1);
 }
 
 // There are more candidates than max_candidates. The last try runs on this
 // instance, which works even when it is partitioned from all others.
-BOOST_AUTO_TEST_CASE(the_last_try_is_sent_from_here) {
+BOOST_AUTO_TEST_CASE(the_last_try_runs_on_this_instance) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.candidates = {InstanceId("a"), InstanceId("b"), InstanceId("c"),
                        InstanceId("d"), InstanceId("self")};
   driver.Start();
-  driver.Do(PeerFailed{InstanceId("a")});
-  driver.Do(PeerFailed{InstanceId("b")});
+  driver.Handle(PeerFailed{InstanceId("a")});
+  driver.Handle(PeerFailed{InstanceId("b")});
   BOOST_TEST(driver.sent.back().to.text == "self");
 }
 
-struct GiveUpCase {
+struct FailureCase {
   std::string name;
   std::vector<InstanceId> candidates;
   Code failure;
@@ -234,10 +234,10 @@
   Code code;
   Ran ran;
 };
-std::ostream& operator<<(std::ostream& out, const GiveUpCase& it) {
+std::ostream& operator<<(std::ostream& out, const FailureCase& it) {
   return out << it.name;
 }
-const GiveUpCase kGiveUps[] = {
+const FailureCase kFailureCases[] = {
     {"refused here",
      {InstanceId("self")},
      Code::kQueueFull,
@@ -266,23 +266,23 @@
 
 // All shards fail permanently long before the deadline. The query fails at
 // once, with `ran` kNo only if nothing left this instance.
-BOOST_DATA_TEST_CASE(a_query_without_hope_ends_at_once, data::make(kGiveUps),
-                     it) {
+BOOST_DATA_TEST_CASE(a_query_whose_shards_all_failed_ends_at_once,
+                     data::make(kFailureCases), it) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.candidates = it.candidates;
   driver.Start();
   driver.now = Millis(1003);
-  driver.Arrive(0, {Failed("p1", it.failure, it.failure_ran),
-                    Failed("p2", it.failure, it.failure_ran)});
+  driver.Deliver(0, {Failed("p1", it.failure, it.failure_ran),
+                     Failed("p2", it.failure, it.failure_ran)});
   BOOST_TEST_REQUIRE(driver.answer.has_value());
   BOOST_TEST((driver.answer->code == it.code));
   BOOST_TEST((driver.answer->ran == it.ran));
-  BOOST_TEST(driver.answer->took.count == 3);
+  BOOST_TEST(driver.answer->elapsed.count == 3);
 }
 
 // The deadline passes while a part runs here without a report. An attempt may
 // be at a server, so `ran` must be kMaybe.
-BOOST_AUTO_TEST_CASE(work_that_has_not_reported_may_have_run) {
+BOOST_AUTO_TEST_CASE(a_part_without_a_report_may_have_run) {
   QueryDriver driver({TestPlan(7, 1)});
   driver.candidates = {InstanceId("self")};
   driver.Start();
@@ -294,14 +294,14 @@
 
 // The caller disconnects while the query runs. All its parts are cancelled, so
 // that no other query waits behind them.
-BOOST_AUTO_TEST_CASE(a_caller_that_went_away_cancels_everything) {
+BOOST_AUTO_TEST_CASE(a_disconnected_caller_cancels_all_parts) {
   QueryDriver driver({TestPlan(7, 2)});
   driver.Start();
   driver.TickAt(30);
-  driver.Do(CallerGone{});
+  driver.Handle(CallerGone{});
   BOOST_TEST((driver.answer->code == Code::kCallerGone));
   BOOST_TEST(driver.cancelled.size() == 2);
-  driver.Arrive(0, {Answered("p1")});
+  driver.Deliver(0, {Answered("p1")});
   BOOST_TEST(driver.cancelled.size() == 2);
 }
 
--- a/packages/scenario/include/hibiscuspick/scenario/node.h
+++ b/packages/scenario/include/hibiscuspick/scenario/node.h
@@ -11,8 +11,8 @@
 #include "hibiscuspick/daemon/traffic_view.h"
 #include "hibiscuspick/limits/group.h"
 #include "hibiscuspick/membership/control_core.h"
-#include "hibiscuspick/routing/ask_budget.h"
 #include "hibiscuspick/routing/query.h"
+#include "hibiscuspick/routing/reassign_budget.h"
 #include "hibiscuspick/scenario/fake_server.h"
 
 namespace hibiscuspick::scenario {
@@ -75,7 +75,7 @@
   std::map<limits::PartOrigin, NodePart> parts;
   std::map<QueryId, NodeQuery> queries;
   routing::HeldVersions held;
-  routing::AskBudget budget;
+  routing::ReassignBudget budget;
   uint64_t last_query = 0;
   uint64_t last_task = 0;
 };
--- a/packages/scenario/src/world_control.cc
+++ b/packages/scenario/src/world_control.cc
@@ -90,8 +90,8 @@
   for (const auto& [id, news] : node->members->servers) {
     for (auto& [service, group] : node->groups) {
       GroupActions actions;
-      limits::TakeServerNews(&group.state, id, news.incarnation, news.draining,
-                             now(), &node->random, &actions);
+      limits::ApplyDrainReport(&group.state, id, news.incarnation,
+                               news.draining, now(), &node->random, &actions);
       Carry(node, service, actions);
     }
   }
--- a/packages/scenario/src/world_queries.cc
+++ b/packages/scenario/src/world_queries.cc
@@ -37,7 +37,7 @@
   query.state = routing::MakeQuery(std::move(request), id, now());
   query.number = number;
   OnNode(node, node->life, [this, node, id] {
-    routing::ForgetOld(&node->held, now());
+    routing::RemoveExpired(&node->held, now());
     StepQuery(node, id, routing::Started{node->held});
   });
   return number;
@@ -46,7 +46,7 @@
 void World::StepQuery(Node* node, QueryId id, const routing::Event& event) {
   const auto it = node->queries.find(id);
   if (it == node->queries.end()) return;
-  routing::QueryWorld world;
+  routing::QueryEnvironment world;
   world.self = node->id;
   world.incarnation = node->incarnation;
   world.candidates = [node](const ServiceId& service) {
@@ -56,8 +56,8 @@
     const auto plans = node->view->plans.find(route);
     return plans == node->view->plans.end() ? routing::Plans() : plans->second;
   };
-  world.may_ask_again = [node](size_t shards) {
-    return routing::Spend(&node->budget, shards);
+  world.may_reassign = [node](size_t shards) {
+    return routing::TakeTokens(&node->budget, shards);
   };
   const auto actions = routing::Step(&it->second.state, event, world, now());
   for (const auto& action : actions) Perform(node, id, action);
@@ -86,12 +86,13 @@
     SendPart(node, *send);
   } else if (const auto* cancel = std::get_if<routing::CancelPart>(&action)) {
     CancelPart(node, *cancel);
-  } else if (const auto* seen = std::get_if<routing::VersionSeen>(&action)) {
+  } else if (const auto* seen =
+                 std::get_if<routing::VersionObserved>(&action)) {
     if (seen->answered) {
-      routing::LearnAnswered(&node->held, seen->shard, seen->version);
+      routing::RecordAnswer(&node->held, seen->shard, seen->version);
     } else {
-      routing::LearnRefused(&node->held, seen->shard, seen->version, seen->held,
-                            now());
+      routing::RecordRefusal(&node->held, seen->shard, seen->version,
+                             seen->held, now());
     }
   } else if (const auto* finish = std::get_if<routing::Finish>(&action)) {
     const uint64_t number = node->queries.at(id).number;
@@ -101,7 +102,7 @@
 }
 
 void World::SendPart(Node* node, const routing::SendPart& send) {
-  routing::Earn(&node->budget, send.part.shards.size());
+  routing::AddTokens(&node->budget, send.part.shards.size());
   if (send.to == node->id) {
     // Outcomes may come at once, and the query is in the middle of a step.
     LaterOnNode(node, now(),
