--- a/benchmarks/gossip/main.cc
+++ b/benchmarks/gossip/main.cc
@@ -17,10 +17,10 @@
 namespace hibiscuspick::gossip_bench {
 namespace {
 
+using membership::DrainReport;
 using membership::GossipMessage;
 using membership::IsDraining;
-using membership::LocalNews;
-using membership::ServerNews;
+using membership::LocalDrain;
 using membership::testing::Fleet;
 using membership::testing::SimulatedNode;
 
@@ -51,7 +51,8 @@
   fleet->size_of = SizeOf;
   fleet->limits = setup.limits;
   for (int i = 0; i < kObjects; ++i) {
-    fleet->WriteAside("services/s" + std::to_string(i), std::string(500, 'x'));
+    fleet->WriteAtPlatform("services/s" + std::to_string(i),
+                           std::string(500, 'x'));
   }
   for (size_t i = 0; i < setup.instances; ++i) {
     const auto name = NameOf(i, setup.data_centres);
@@ -264,9 +265,9 @@
     KillSome(&fleet, it.failed);
     auto* first = FirstAlive(&fleet);
     const BackendServerId server("b1");
-    const ServerNews news{server, Incarnation(1), 0, true};
+    const DrainReport news{server, Incarnation(1), 0, true};
     drains.push_back(SpreadOne(
-        &fleet, [&] { fleet.Feed(first, LocalNews{news}); },
+        &fleet, [&] { fleet.Feed(first, LocalDrain{news}); },
         [&](const auto& node) { return IsDraining(*node.view, server); },
         &drain_cost));
     objects.push_back(SpreadOne(
--- a/packages/daemon/src/daemon_impl.h
+++ b/packages/daemon/src/daemon_impl.h
@@ -73,7 +73,7 @@
   void TakeHeaderNews(const BackendServerId& server, Incarnation incarnation,
                       bool draining);
   void TakeMessage(const InstanceId& from, inner::Message message);
-  void TakeWatchAnswer(const Result<platform::WatchNews>& answer);
+  void TakeWatchAnswer(const Result<platform::WatchResult>& answer);
   void TakeView(const TrafficView& view);
   records::DispatchResult DispatchRecord(const records::RecordRequest& request,
                                          Millis time_left);
--- a/packages/daemon/src/daemon_ports.cc
+++ b/packages/daemon/src/daemon_ports.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "daemon_impl.h"
-#include "hibiscuspick/membership/reply_news.h"
+#include "hibiscuspick/membership/reply_drain.h"
 
 namespace hibiscuspick::daemon {
 
@@ -15,7 +15,7 @@
     mesh_.Send(peer, inner::ToMessage(std::move(message)));
   };
   ports.on_view = [this](const TrafficView& view) { TakeView(view); };
-  ports.on_server_news = [this](const membership::ServerNews& news) {
+  ports.on_server_news = [this](const membership::DrainReport& news) {
     executor_.ApplyDrainReport(news.server, news.incarnation, news.draining);
   };
   ports.adopt_incarnation = [this](Incarnation it) {
@@ -125,21 +125,21 @@
       return;
     }
     const auto view = control_.View();
-    membership::ServerNews news;
+    membership::DrainReport news;
     const auto it = view->members->servers.find(server);
     if (it != view->members->servers.end()) news = it->second;
     news.server = server;
     news.draining = true;
-    control_.PostAndWait(membership::LocalNews{news});
+    control_.PostAndWait(membership::LocalDrain{news});
   };
   return ports;
 }
 
 void Daemon::Impl::TakeHeaderNews(const BackendServerId& server,
                                   Incarnation incarnation, bool draining) {
-  const auto news = membership::NewsOfReply(control_.View()->members->servers,
-                                            server, incarnation, draining);
-  if (news) control_.Post(membership::LocalNews{*news});
+  const auto news = membership::DrainReportOfReply(
+      control_.View()->members->servers, server, incarnation, draining);
+  if (news) control_.Post(membership::LocalDrain{*news});
 }
 
 void Daemon::Impl::TakeMessage(const InstanceId& from, inner::Message message) {
@@ -159,21 +159,22 @@
   }
   if (auto* digest = std::get_if<membership::Digest>(&message)) {
     control_.Post(membership::MessageFrom{from, std::move(*digest)});
-  } else if (auto* news = std::get_if<membership::News>(&message)) {
+  } else if (auto* news = std::get_if<membership::MembershipDelta>(&message)) {
     control_.Post(membership::MessageFrom{from, std::move(*news)});
   } else if (auto* delta = std::get_if<settings::ConfigDelta>(&message)) {
     control_.Post(membership::MessageFrom{from, std::move(*delta)});
   }
 }
 
-void Daemon::Impl::TakeWatchAnswer(const Result<platform::WatchNews>& answer) {
+void Daemon::Impl::TakeWatchAnswer(
+    const Result<platform::WatchResult>& answer) {
   const bool reachable = IsOk(answer);
   if (platform_reachable_.exchange(reachable) != reachable) {
     Log(Part::kPlatform)
         .warn("The platform {}.", reachable ? "answers" : "does not answer");
   }
   if (!reachable) return;
-  const platform::WatchNews& news = ValueOf(answer);
+  const platform::WatchResult& news = ValueOf(answer);
   control_.Post(membership::WatchedConfig{news.delta, news.known});
 }
 
--- a/packages/inner/include/hibiscuspick/inner/message.h
+++ b/packages/inner/include/hibiscuspick/inner/message.h
@@ -27,9 +27,9 @@
   limits::PartOrigin origin;
 };
 
-using Message =
-    std::variant<limits::PartRequest, PartOutcomes, PartCancel,
-                 membership::Digest, membership::News, settings::ConfigDelta>;
+using Message = std::variant<limits::PartRequest, PartOutcomes, PartCancel,
+                             membership::Digest, membership::MembershipDelta,
+                             settings::ConfigDelta>;
 
 // Whether the message belongs to a query. All others are control messages,
 // which are sent after traffic.
--- a/packages/inner/src/size.cc
+++ b/packages/inner/src/size.cc
@@ -43,7 +43,7 @@
          kStruct * it.data_centres.size();
 }
 
-size_t SizeOf(const membership::News& it) {
+size_t SizeOf(const membership::MembershipDelta& it) {
   return kStruct + kMember * it.members.size() + kStruct * it.servers.size();
 }
 
--- a/packages/inner/src/wire.cc
+++ b/packages/inner/src/wire.cc
@@ -181,7 +181,7 @@
   return result;
 }
 
-wire::ServerNews Encode(const membership::ServerNews& news) {
+wire::ServerNews Encode(const membership::DrainReport& news) {
   wire::ServerNews result;
   result.server = news.server.text;
   result.incarnation = Signed(news.incarnation.value);
@@ -190,8 +190,8 @@
   return result;
 }
 
-membership::ServerNews Decode(const wire::ServerNews& news) {
-  membership::ServerNews result;
+membership::DrainReport Decode(const wire::ServerNews& news) {
+  membership::DrainReport result;
   result.server = BackendServerId(news.server);
   result.incarnation = Incarnation(Unsigned(news.incarnation));
   result.draining = news.draining;
@@ -259,7 +259,7 @@
   return result;
 }
 
-wire::News Encode(const membership::News& news) {
+wire::News Encode(const membership::MembershipDelta& news) {
   wire::News result;
   for (const auto& it : news.members) {
     result.members.push_back(Encode(it));
@@ -271,8 +271,8 @@
   return result;
 }
 
-membership::News Decode(const wire::News& news) {
-  membership::News result;
+membership::MembershipDelta Decode(const wire::News& news) {
+  membership::MembershipDelta result;
   // An invalid entry doesn't affect the others.
   for (const auto& it : news.members) {
     auto state = Decode(it);
@@ -329,7 +329,7 @@
   void operator()(const membership::Digest& it) const {
     message->__set_digest(Encode(it));
   }
-  void operator()(const membership::News& it) const {
+  void operator()(const membership::MembershipDelta& it) const {
     message->__set_news(Encode(it));
   }
   void operator()(const settings::ConfigDelta& it) const {
--- a/packages/inner/tests/fuzz_test.cc
+++ b/packages/inner/tests/fuzz_test.cc
@@ -108,8 +108,8 @@
   return digest;
 }
 
-membership::News MakeNews() {
-  membership::News news;
+membership::MembershipDelta MakeNews() {
+  membership::MembershipDelta news;
   news.members = {MakeMember()};
   news.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
   return news;
--- a/packages/inner/tests/wire_test.cc
+++ b/packages/inner/tests/wire_test.cc
@@ -27,8 +27,8 @@
 using hibiscuspick::inner::testing::MakePart;
 using hibiscuspick::limits::PartRequest;
 using hibiscuspick::membership::Digest;
+using hibiscuspick::membership::MembershipDelta;
 using hibiscuspick::membership::MemberState;
-using hibiscuspick::membership::News;
 using hibiscuspick::membership::Phase;
 using hibiscuspick::settings::ConfigDelta;
 
@@ -66,8 +66,8 @@
   return digest;
 }
 
-News MakeNews() {
-  News news;
+MembershipDelta MakeNews() {
+  MembershipDelta news;
   news.members.push_back(MakeMember("oslo-1-i002"));
   news.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
   news.pass_on = true;
@@ -176,7 +176,7 @@
   auto news = ToWire(Message(MakeNews()));
   news.news.members.emplace_back(news.news.members.front());
   news.news.members.front().phase = 9;
-  BOOST_TEST(std::get<News>(*FromWire(news)).members.size() == 1U);
+  BOOST_TEST(std::get<MembershipDelta>(*FromWire(news)).members.size() == 1U);
   auto digest = ToWire(Message(MakeDigest()));
   digest.digest.sender.inner_address = "nowhere";
   BOOST_TEST(!FromWire(digest).has_value());
--- a/packages/membership/include/hibiscuspick/membership/control_core.h
+++ b/packages/membership/include/hibiscuspick/membership/control_core.h
@@ -15,9 +15,9 @@
 #include "hibiscuspick/base/millis.h"
 #include "hibiscuspick/base/random.h"
 #include "hibiscuspick/base/result.h"
+#include "hibiscuspick/membership/drain_table.h"
 #include "hibiscuspick/membership/gossip_message.h"
 #include "hibiscuspick/membership/member_table.h"
-#include "hibiscuspick/membership/server_news.h"
 #include "hibiscuspick/membership/view.h"
 #include "hibiscuspick/platform/calls.h"
 #include "hibiscuspick/settings/config_store.h"
@@ -44,7 +44,7 @@
   // Maximum bytes of configuration in one message.
   size_t delta_bytes = 512 << 10;
   // Maximum entries of each kind in one MembershipDelta.
-  size_t news_entries = 128;
+  size_t delta_entries = 128;
   // Instances of each data centre that watch the platform.
   size_t watchers = 2;
   // An instance without configuration for this long watches the platform
@@ -53,13 +53,13 @@
   // Maximum lag of the platform's list. An instance that started less than this
   // ago and is listed as leaving assumes that the entry belongs to an earlier
   // incarnation.
-  Millis list_lag{60000};
+  Millis max_list_lag{60000};
 };
 
 struct ControlState {
   ControlLimits limits;
   MemberTable table;
-  ServerNewsTable servers;
+  DrainTable servers;
   settings::ConfigStore config;
   // Local time at which the platform last confirmed the configuration as the
   // newest, to this instance or to one that reported it.
@@ -115,8 +115,8 @@
   std::vector<platform::ListedInstance> instances;
 };
 // A report from any source that a backend server is draining.
-struct LocalNews {
-  ServerNews news;
+struct LocalDrain {
+  DrainReport report;
 };
 // An operator's command that a draining server takes requests again in the same
 // incarnation.
@@ -138,7 +138,7 @@
   Phase phase = Phase::kServing;
 };
 using Event =
-    std::variant<Tick, MessageFrom, PeerFailed, PlatformList, LocalNews,
+    std::variant<Tick, MessageFrom, PeerFailed, PlatformList, LocalDrain,
                  LocalUndrain, AcceptedConfig, WatchedConfig, SelfPhase>;
 
 // Actions.
--- a/packages/membership/include/hibiscuspick/membership/server_news.h
+++ b/packages/membership/include/hibiscuspick/membership/drain_table.h
@@ -18,7 +18,7 @@
 
 namespace hibiscuspick::membership {
 
-struct ServerNews {
+struct DrainReport {
   BackendServerId server;
   // 0 if the source did not name one (the header is optional).
   Incarnation incarnation;
@@ -26,26 +26,26 @@
   uint64_t round = 0;
   bool draining = false;
 
-  bool operator==(const ServerNews&) const = default;
+  bool operator==(const DrainReport&) const = default;
 };
 
 // Whether `a` replaces `b`.
-bool Replaces(const ServerNews& a, const ServerNews& b);
+bool Replaces(const DrainReport& a, const DrainReport& b);
 
-using ServerNewsTable = std::map<BackendServerId, ServerNews>;
+using DrainTable = std::map<BackendServerId, DrainReport>;
 
 // Merges a report; returns whether it was newer.
-bool MergeServer(ServerNewsTable* table, const ServerNews& news);
+bool MergeDrainReport(DrainTable* table, const DrainReport& report);
 
 // Returns the report by which an operator revokes a drain in the table: the
 // next round, not draining.
-ServerNews UndrainOf(const ServerNewsTable& table,
-                     const BackendServerId& server);
+DrainReport MakeUndrainReport(const DrainTable& table,
+                              const BackendServerId& server);
 
 // Buckets of a digest, as for members.
 inline constexpr size_t kServerBuckets = 16;
 using ServerBuckets = std::array<uint32_t, kServerBuckets>;
 size_t ServerBucketOf(const BackendServerId& id);
-ServerBuckets BucketsOf(const ServerNewsTable& table);
+ServerBuckets BucketsOf(const DrainTable& table);
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/include/hibiscuspick/membership/gossip_message.h
+++ b/packages/membership/include/hibiscuspick/membership/gossip_message.h
@@ -8,8 +8,8 @@
 
 #include "hibiscuspick/base/ids.h"
 #include "hibiscuspick/base/millis.h"
+#include "hibiscuspick/membership/drain_table.h"
 #include "hibiscuspick/membership/member.h"
-#include "hibiscuspick/membership/server_news.h"
 #include "hibiscuspick/settings/config_store.h"
 
 namespace hibiscuspick::membership {
@@ -44,15 +44,16 @@
 };
 
 // Entries that are newer at the sender.
-struct News {
+struct MembershipDelta {
   std::vector<MemberState> members;
-  std::vector<ServerNews> servers;
+  std::vector<DrainReport> servers;
   // Marks a new change, which each instance forwards when it first receives it.
   // Not set in replies to digests: a new instance would flood its peers with
   // entries that they all have.
   bool pass_on = false;
 };
 
-using GossipMessage = std::variant<Digest, News, settings::ConfigDelta>;
+using GossipMessage =
+    std::variant<Digest, MembershipDelta, settings::ConfigDelta>;
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/include/hibiscuspick/membership/member.h
+++ b/packages/membership/include/hibiscuspick/membership/member.h
@@ -42,7 +42,7 @@
 bool Replaces(const MemberState& a, const MemberState& b);
 
 // Identifies one incarnation of one instance in a digest.
-uint64_t LifeKey(const MemberState& state);
+uint64_t IncarnationKey(const MemberState& state);
 
 // The destination of a message. An empty id means any instance that listens at
 // the address, as with a seed from the settings file.
--- a/packages/membership/include/hibiscuspick/membership/member_table.h
+++ b/packages/membership/include/hibiscuspick/membership/member_table.h
@@ -24,7 +24,7 @@
   // Replaces gone_after while most of the data centre is silent.
   Millis most_gone_after{60000};
   // How long a member is suspect after the mesh failed to reach it.
-  Millis distrust_failed_for{5000};
+  Millis suspect_failed_for{5000};
   // Silence of another data centre after which its members are suspect.
   Millis data_centre_suspect_after{15000};
   // How long a gone instance is remembered, so that old gossip cannot revive
@@ -35,10 +35,10 @@
 struct Member {
   MemberState state;
   // Local time of the last increase of the heartbeat or change of the state.
-  Millis heard;
+  Millis last_heard;
   bool suspect = false;
   // When the mesh last failed to reach it.
-  std::optional<Millis> failed;
+  std::optional<Millis> last_failure;
 };
 
 struct MemberTable {
@@ -47,7 +47,7 @@
   // Includes this instance.
   std::map<InstanceId, Member> members;
   // Local time at which each other data centre was last heard from.
-  std::map<DataCentreId, Millis> data_centres_heard;
+  std::map<DataCentreId, Millis> data_centres_last_heard;
   // Whether this instance refutes a report that it is leaving. The platform's
   // list lags and may show an earlier incarnation of this id.
   bool refute_leaving = true;
@@ -55,9 +55,9 @@
   uint64_t generation = 0;
 };
 
-enum class Merge {
+enum class MergeResult {
   // Nothing new, or a report of a gone instance that is unknown here.
-  kOld,
+  kNotNewer,
   // Only the heartbeat was newer.
   kHeartbeat,
   // The entry was replaced.
@@ -68,12 +68,13 @@
 };
 
 // Merges a report of one member.
-Merge MergeMember(MemberTable* table, const MemberState& state, Millis now);
+MergeResult MergeMember(MemberTable* table, const MemberState& state,
+                        Millis now);
 
 // Merges a heartbeat from a digest. Returns false if the incarnation is unknown
 // or the heartbeat is not newer.
-bool MergeHeartbeat(MemberTable* table, const InstanceId& id, uint64_t beat,
-                    Millis now);
+bool MergeHeartbeat(MemberTable* table, const InstanceId& id,
+                    uint64_t heartbeat, Millis now);
 
 // Records that the mesh could not reach the member, which makes it suspect for
 // a while.
@@ -81,7 +82,7 @@
 
 struct SweepResult {
   std::vector<InstanceId> suspected;
-  std::vector<InstanceId> trusted;
+  std::vector<InstanceId> recovered;
   std::vector<InstanceId> gone;
   std::vector<InstanceId> forgotten;
 };
@@ -93,7 +94,7 @@
 // Adds a pause of this process to all times, since members only appeared silent
 // during it. Otherwise an instance that resumes would report all others as
 // gone.
-void ForgivePause(MemberTable* table, Millis pause);
+void DiscountPause(MemberTable* table, Millis pause);
 
 // The entry of this instance.
 Member& SelfOf(MemberTable* table);
--- a/packages/membership/include/hibiscuspick/membership/view.h
+++ b/packages/membership/include/hibiscuspick/membership/view.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "hibiscuspick/base/ids.h"
+#include "hibiscuspick/membership/drain_table.h"
 #include "hibiscuspick/membership/member.h"
-#include "hibiscuspick/membership/server_news.h"
 
 namespace hibiscuspick::membership {
 
@@ -32,7 +32,7 @@
   DataCentreId data_centre;
   // All members except those gone.
   std::map<InstanceId, ViewMember> members;
-  ServerNewsTable servers;
+  DrainTable servers;
   // Incremented with each view that this process publishes.
   uint64_t number = 0;
 };
--- a/packages/membership/src/config_spread.cc
+++ b/packages/membership/src/config_gossip.cc
@@ -3,7 +3,7 @@
 // decreases.
 #include <algorithm>
 
-#include "turn.h"
+#include "step_context.h"
 
 namespace hibiscuspick::membership {
 namespace {
@@ -38,7 +38,7 @@
 // Returns the objects of a delta with the lowest versions, up to about `bytes`.
 // The result is a complete delta up to its last version; the next digest
 // requests the rest.
-ConfigDelta FirstOf(ConfigDelta delta, size_t bytes) {
+ConfigDelta TruncateDelta(ConfigDelta delta, size_t bytes) {
   std::sort(delta.objects.begin(), delta.objects.end(),
             [](const auto& a, const auto& b) { return a.version < b.version; });
   size_t size = 0;
@@ -53,17 +53,17 @@
   return delta;
 }
 
-void Note(Turn* turn, settings::Applied applied) {
+void ReportApplied(StepContext* context, settings::Applied applied) {
   for (auto& it : applied.alarms) {
-    turn->actions.push_back(Alarm{std::move(it)});
+    context->actions.push_back(Alarm{std::move(it)});
   }
   if (applied.changed.empty() && !applied.watermark_raised) return;
-  turn->actions.push_back(ApplyConfig{std::move(applied.changed)});
+  context->actions.push_back(ApplyConfig{std::move(applied.changed)});
 }
 
 // Whether both sides have the same watermark and no object above it. Any
 // difference then lies below the watermark, where a digest cannot identify it.
-bool HasNothingBeyond(const ControlState& state, const Digest& digest) {
+bool HasNoNewerObjects(const ControlState& state, const Digest& digest) {
   return state.config.complete_to == digest.config_complete_to &&
          state.digest_newest <= state.config.complete_to &&
          digest.config_newest <= digest.config_complete_to;
@@ -73,112 +73,116 @@
 // watermark but another content, which means that the platform assigned a
 // version twice. Sending everything transfers the objects that are newer here;
 // since it is expensive it is done once in kOneIn times.
-bool MayRepairAll(Turn* turn, const Peer& to) {
+bool ShouldSendAll(StepContext* context, const Peer& to) {
   constexpr size_t kOneIn = 8;
-  if (turn->random->Below(kOneIn) != 0) return false;
-  turn->actions.push_back(
+  if (context->random->Below(kOneIn) != 0) return false;
+  context->actions.push_back(
       Alarm{{Code::kPlatformWentBack, to.id.text,
              "configuration differs at revision " +
-                 std::to_string(turn->state->config.complete_to.value)}});
+                 std::to_string(context->state->config.complete_to.value)}});
   return true;
 }
 
 // Pushes a change. Of a large one only a digest is sent, so that no peer
 // receives a megabyte several times.
-void Push(Turn* turn, const ConfigDelta& delta, Reach reach,
+void Push(StepContext* context, const ConfigDelta& delta, PushScope scope,
           const InstanceId& except) {
-  const bool small = SizeOf(delta) <= turn->state->limits.push_bytes;
-  for (auto& peer : PushPeers(turn, reach, except)) {
+  const bool small = SizeOf(delta) <= context->state->limits.push_bytes;
+  for (auto& peer : PushPeers(context, scope, except)) {
     if (small) {
-      turn->actions.push_back(SendTo{std::move(peer), delta});
+      context->actions.push_back(SendTo{std::move(peer), delta});
       continue;
     }
-    auto digest = MakeDigest(turn, false);
+    auto digest = MakeDigest(context, false);
     digest.reply_wanted = true;
-    turn->actions.push_back(SendTo{std::move(peer), std::move(digest)});
+    context->actions.push_back(SendTo{std::move(peer), std::move(digest)});
   }
 }
 
 }  // namespace
 
-void FillConfig(Turn* turn, Digest* digest) {
-  RefreshDigest(turn->state);
-  digest->config_complete_to = turn->state->config.complete_to;
-  digest->config_newest = turn->state->digest_newest;
-  digest->config_hash = turn->state->digest_hash;
-  const auto& confirmed = turn->state->config_confirmed;
-  if (confirmed) digest->config_age = turn->now - *confirmed;
+void FillConfigDigest(StepContext* context, Digest* digest) {
+  RefreshDigest(context->state);
+  digest->config_complete_to = context->state->config.complete_to;
+  digest->config_newest = context->state->digest_newest;
+  digest->config_hash = context->state->digest_hash;
+  const auto& confirmed = context->state->config_confirmed;
+  if (confirmed) digest->config_age = context->now - *confirmed;
 }
 
-void TakeConfigAge(Turn* turn, const Digest& digest) {
-  ControlState* state = turn->state;
+void MergeConfigAge(StepContext* context, const Digest& digest) {
+  ControlState* state = context->state;
   if (!digest.config_age || *digest.config_age < Millis(0)) return;
   // The confirmation refers to a configuration that is not complete here yet.
   if (state->config.complete_to < digest.config_complete_to) return;
-  const Millis confirmed = turn->now - *digest.config_age;
+  const Millis confirmed = context->now - *digest.config_age;
   state->config_confirmed =
       Max(state->config_confirmed.value_or(confirmed), confirmed);
 }
 
-bool LacksConfig(Turn* turn, const Digest& digest) {
-  RefreshDigest(turn->state);
-  const auto& state = *turn->state;
+bool NeedsConfig(StepContext* context, const Digest& digest) {
+  RefreshDigest(context->state);
+  const auto& state = *context->state;
   return digest.config_complete_to > state.config.complete_to ||
          digest.config_newest > state.digest_newest ||
          digest.config_hash != state.digest_hash;
 }
 
-void AnswerConfig(Turn* turn, const Peer& to, const Digest& digest) {
-  RefreshDigest(turn->state);
-  const auto& state = *turn->state;
-  const bool further = state.config.complete_to > digest.config_complete_to;
+void ReplyWithConfig(StepContext* context, const Peer& to,
+                     const Digest& digest) {
+  RefreshDigest(context->state);
+  const auto& state = *context->state;
+  const bool ahead = state.config.complete_to > digest.config_complete_to;
   const bool differs = state.digest_hash != digest.config_hash;
-  if (!further && !differs) return;
-  const bool diverged = !further && HasNothingBeyond(state, digest);
-  if (diverged && !MayRepairAll(turn, to)) return;
+  if (!ahead && !differs) return;
+  const bool diverged = !ahead && HasNoNewerObjects(state, digest);
+  if (diverged && !ShouldSendAll(context, to)) return;
   auto delta = DeltaSince(state.config,
                           diverged ? Revision() : digest.config_complete_to);
-  if (!further) {
+  if (!ahead) {
     // Single objects above the other's watermark say nothing about the versions
     // in between, so they must not raise it.
     delta.after = Revision();
     delta.complete_to = Revision();
     if (delta.objects.empty()) return;
   }
-  delta = FirstOf(std::move(delta), state.limits.delta_bytes);
-  turn->actions.push_back(SendTo{to, std::move(delta)});
+  delta = TruncateDelta(std::move(delta), state.limits.delta_bytes);
+  context->actions.push_back(SendTo{to, std::move(delta)});
 }
 
-void HandleAccepted(Turn* turn, const ConfigDelta& delta) {
-  auto applied = ApplyDelta(&turn->state->config, delta);
+void HandleAccepted(StepContext* context, const ConfigDelta& delta) {
+  auto applied = ApplyDelta(&context->state->config, delta);
   const bool changed = !applied.changed.empty();
-  Note(turn, std::move(applied));
-  if (changed) Push(turn, delta, Reach::kAll, {});
+  ReportApplied(context, std::move(applied));
+  if (changed) Push(context, delta, PushScope::kAll, {});
 }
 
-void HandleWatched(Turn* turn, const WatchedConfig& watched) {
-  const bool fresh = !IsConfigured(*turn->state);
+void HandleWatched(StepContext* context, const WatchedConfig& watched) {
+  const bool was_unconfigured = !IsConfigured(*context->state);
   auto applied =
-      ApplyFromPlatform(&turn->state->config, watched.delta, watched.known);
+      ApplyFromPlatform(&context->state->config, watched.delta, watched.known);
   const bool changed = !applied.changed.empty();
-  if (applied.alarms.empty()) turn->state->config_confirmed = turn->now;
-  Note(turn, std::move(applied));
-  if (changed && !fresh) Push(turn, watched.delta, Reach::kAll, {});
+  if (applied.alarms.empty()) context->state->config_confirmed = context->now;
+  ReportApplied(context, std::move(applied));
+  if (changed && !was_unconfigured)
+    Push(context, watched.delta, PushScope::kAll, {});
 }
 
-void HandleDelta(Turn* turn, const InstanceId& from, const ConfigDelta& delta) {
-  const bool fresh = !IsConfigured(*turn->state);
-  auto applied = ApplyDelta(&turn->state->config, delta);
+void HandleDelta(StepContext* context, const InstanceId& from,
+                 const ConfigDelta& delta) {
+  const bool was_unconfigured = !IsConfigured(*context->state);
+  auto applied = ApplyDelta(&context->state->config, delta);
   const bool changed = !applied.changed.empty();
   const bool gap = applied.gap;
-  Note(turn, std::move(applied));
+  ReportApplied(context, std::move(applied));
   // An instance does not push its first configuration, since its peers already
   // have it.
-  if (changed && !fresh) Push(turn, delta, Reach::kOwnDataCentre, from);
+  if (changed && !was_unconfigured)
+    Push(context, delta, PushScope::kOwnDataCentre, from);
   if (!gap) return;
-  auto digest = MakeDigest(turn, false);
+  auto digest = MakeDigest(context, false);
   digest.reply_wanted = true;
-  turn->actions.push_back(SendTo{Peer{from, {}, {}}, std::move(digest)});
+  context->actions.push_back(SendTo{Peer{from, {}, {}}, std::move(digest)});
 }
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/src/control_core.cc
+++ b/packages/membership/src/control_core.cc
@@ -4,39 +4,40 @@
 #include <memory>
 
 #include "hibiscuspick/membership/placement.h"
-#include "turn.h"
+#include "step_context.h"
 
 namespace hibiscuspick::membership {
 namespace {
 
 // After a pause of this process all members appear silent although they are
 // not.
-void NoticePause(Turn* turn) {
-  auto& state = *turn->state;
-  const Millis gap = turn->now - state.last_tick;
-  if (gap > state.limits.pause) ForgivePause(&state.table, gap);
-}
-
-void NoteAll(Turn* turn, const std::vector<InstanceId>& ids,
-             const std::string& what) {
-  for (const auto& it : ids) NoteMember(turn, it, what);
-}
-
-void JudgeSilence(Turn* turn) {
-  auto& state = *turn->state;
-  const auto swept = Sweep(&state.table, state.limits.members, turn->now);
-  NoteAll(turn, swept.suspected, "is silent");
-  NoteAll(turn, swept.trusted, "responds again");
-  NoteAll(turn, swept.gone, "is gone");
-  NoteAll(turn, swept.forgotten, "is forgotten");
-  News news;
+void HandlePause(StepContext* context) {
+  auto& state = *context->state;
+  const Millis gap = context->now - state.last_tick;
+  if (gap > state.limits.pause) DiscountPause(&state.table, gap);
+}
+
+void ReportMemberChanges(StepContext* context,
+                         const std::vector<InstanceId>& ids,
+                         const std::string& what) {
+  for (const auto& it : ids) ReportMemberChange(context, it, what);
+}
+
+void UpdateSuspicion(StepContext* context) {
+  auto& state = *context->state;
+  const auto swept = Sweep(&state.table, state.limits.members, context->now);
+  ReportMemberChanges(context, swept.suspected, "is silent");
+  ReportMemberChanges(context, swept.recovered, "responds again");
+  ReportMemberChanges(context, swept.gone, "is gone");
+  ReportMemberChanges(context, swept.forgotten, "is forgotten");
+  MembershipDelta delta;
   for (const auto& it : swept.gone) {
-    news.members.push_back(state.table.members.at(it).state);
+    delta.members.push_back(state.table.members.at(it).state);
   }
-  PushNews(turn, std::move(news), Reach::kAll, {});
+  PushMembershipDelta(context, std::move(delta), PushScope::kAll, {});
 }
 
-bool WantsWatch(const ControlState& state, Millis now) {
+bool ShouldWatch(const ControlState& state, Millis now) {
   if (IsWatcher(state)) return true;
   if (IsConfigured(state)) return false;
   // No peer has sent a configuration so far. One more watcher of the platform
@@ -44,69 +45,72 @@
   return now - *state.started >= state.limits.watch_without_config;
 }
 
-void ChooseWatch(Turn* turn) {
-  auto& state = *turn->state;
-  const bool wants = WantsWatch(state, turn->now);
-  if (wants == state.watching) return;
-  state.watching = wants;
-  if (wants) {
-    turn->actions.push_back(StartWatching{});
+void UpdateWatching(StepContext* context) {
+  auto& state = *context->state;
+  const bool should_watch = ShouldWatch(state, context->now);
+  if (should_watch == state.watching) return;
+  state.watching = should_watch;
+  if (should_watch) {
+    context->actions.push_back(StartWatching{});
   } else {
-    turn->actions.push_back(StopWatching{});
+    context->actions.push_back(StopWatching{});
   }
 }
 
-void Handle(Turn* turn, const Tick&) {
-  auto& state = *turn->state;
+void Handle(StepContext* context, const Tick&) {
+  auto& state = *context->state;
   if (state.started) {
-    NoticePause(turn);
+    HandlePause(context);
   } else {
-    state.started = turn->now;
+    state.started = context->now;
   }
-  state.last_tick = turn->now;
+  state.last_tick = context->now;
   ++state.ticks;
   auto& self = SelfOf(&state.table);
   ++self.state.heartbeat;
-  self.heard = turn->now;
+  self.last_heard = context->now;
   state.table.refute_leaving =
-      turn->now - *state.started < state.limits.list_lag;
-  JudgeSilence(turn);
-  SendDigests(turn);
-  ChooseWatch(turn);
+      context->now - *state.started < state.limits.max_list_lag;
+  UpdateSuspicion(context);
+  SendDigests(context);
+  UpdateWatching(context);
 }
 
-void Take(Turn* turn, const InstanceId& from, const Digest& digest) {
-  HandleDigest(turn, from, digest);
+void HandleMessage(StepContext* context, const InstanceId& from,
+                   const Digest& digest) {
+  HandleDigest(context, from, digest);
 }
 
-void Take(Turn* turn, const InstanceId& from, const News& news) {
-  HandleNews(turn, from, news);
+void HandleMessage(StepContext* context, const InstanceId& from,
+                   const MembershipDelta& delta) {
+  HandleMembershipDelta(context, from, delta);
 }
 
-void Take(Turn* turn, const InstanceId& from,
-          const settings::ConfigDelta& delta) {
-  HandleDelta(turn, from, delta);
+void HandleMessage(StepContext* context, const InstanceId& from,
+                   const settings::ConfigDelta& delta) {
+  HandleDelta(context, from, delta);
 }
 
-void Handle(Turn* turn, const MessageFrom& event) {
-  std::visit([&](const auto& it) { Take(turn, event.from, it); },
+void Handle(StepContext* context, const MessageFrom& event) {
+  std::visit([&](const auto& it) { HandleMessage(context, event.from, it); },
              event.message);
 }
 
-void Handle(Turn* turn, const PeerFailed& event) {
-  MarkFailed(&turn->state->table, event.peer, turn->now);
+void Handle(StepContext* context, const PeerFailed& event) {
+  MarkFailed(&context->state->table, event.peer, context->now);
 }
 
 // Whether the list entry is about the known incarnation. The list carries no
 // incarnation and may show an earlier one for a while.
-bool IsOfThisLife(ControlState* state, const MemberState& known) {
+bool IsKnownIncarnation(ControlState* state, const MemberState& known) {
   const auto [it, first] = state->listed_leaving.try_emplace(known.id, known);
   return first || (it->second.incarnation == known.incarnation &&
                    it->second.refutations == known.refutations);
 }
 
-void TakeListed(Turn* turn, const platform::ListedInstance& listed) {
-  auto& state = *turn->state;
+void HandleListedInstance(StepContext* context,
+                          const platform::ListedInstance& listed) {
+  auto& state = *context->state;
   if (!listed.leaving) {
     state.listed_leaving.erase(listed.id);
     return;
@@ -114,57 +118,58 @@
   const auto it = state.table.members.find(listed.id);
   if (it == state.table.members.end()) return;
   auto report = it->second.state;
-  if (!IsOfThisLife(&state, report)) return;
+  if (!IsKnownIncarnation(&state, report)) return;
   if (report.phase >= Phase::kLeaving) return;
   report.phase = Phase::kLeaving;
-  if (TakeMember(turn, report) != Merge::kChanged) return;
-  News news;
-  news.members.push_back(std::move(report));
-  PushNews(turn, std::move(news), Reach::kAll, {});
+  if (MergeReport(context, report) != MergeResult::kChanged) return;
+  MembershipDelta delta;
+  delta.members.push_back(std::move(report));
+  PushMembershipDelta(context, std::move(delta), PushScope::kAll, {});
 }
 
-void Handle(Turn* turn, const PlatformList& event) {
-  auto& state = *turn->state;
+void Handle(StepContext* context, const PlatformList& event) {
+  auto& state = *context->state;
   state.listed.clear();
   for (const auto& it : event.instances) {
     if (it.id != state.table.self) {
       state.listed.push_back({it.id, it.inner, {}});
     }
-    TakeListed(turn, it);
+    HandleListedInstance(context, it);
   }
 }
 
-void TakeServer(Turn* turn, const ServerNews& server) {
-  auto& state = *turn->state;
-  if (!MergeServer(&state.servers, server)) return;
+void MergeAndPushDrain(StepContext* context, const DrainReport& report) {
+  auto& state = *context->state;
+  if (!MergeDrainReport(&state.servers, report)) return;
   ++state.servers_generation;
-  News news;
-  news.servers.push_back(server);
-  PushNews(turn, std::move(news), Reach::kAll, {});
+  MembershipDelta delta;
+  delta.servers.push_back(report);
+  PushMembershipDelta(context, std::move(delta), PushScope::kAll, {});
 }
 
-void Handle(Turn* turn, const LocalNews& event) {
-  TakeServer(turn, event.news);
+void Handle(StepContext* context, const LocalDrain& event) {
+  MergeAndPushDrain(context, event.report);
 }
 
-void Handle(Turn* turn, const LocalUndrain& event) {
-  TakeServer(turn, UndrainOf(turn->state->servers, event.server));
+void Handle(StepContext* context, const LocalUndrain& event) {
+  MergeAndPushDrain(context,
+                    MakeUndrainReport(context->state->servers, event.server));
 }
 
-void Handle(Turn* turn, const AcceptedConfig& event) {
-  HandleAccepted(turn, event.delta);
+void Handle(StepContext* context, const AcceptedConfig& event) {
+  HandleAccepted(context, event.delta);
 }
 
-void Handle(Turn* turn, const WatchedConfig& event) {
-  HandleWatched(turn, event);
+void Handle(StepContext* context, const WatchedConfig& event) {
+  HandleWatched(context, event);
 }
 
-void Handle(Turn* turn, const SelfPhase& event) {
-  auto& self = SelfOf(&turn->state->table).state;
+void Handle(StepContext* context, const SelfPhase& event) {
+  auto& self = SelfOf(&context->state->table).state;
   if (event.phase <= self.phase) return;
   self.phase = event.phase;
-  ++turn->state->table.generation;
-  PushSelf(turn);
+  ++context->state->table.generation;
+  PushSelf(context);
 }
 
 ViewPointer MakeView(const ControlState& state) {
@@ -185,8 +190,8 @@
   return view;
 }
 
-void PublishIfChanged(Turn* turn) {
-  auto& state = *turn->state;
+void PublishIfChanged(StepContext* context) {
+  auto& state = *context->state;
   if (state.view_number != 0 &&
       state.view_generation == state.table.generation &&
       state.view_servers_generation == state.servers_generation) {
@@ -195,7 +200,7 @@
   state.view_generation = state.table.generation;
   state.view_servers_generation = state.servers_generation;
   ++state.view_number;
-  turn->actions.push_back(PublishView{MakeView(state)});
+  context->actions.push_back(PublishView{MakeView(state)});
 }
 
 }  // namespace
@@ -214,10 +219,10 @@
 
 std::vector<Action> Step(ControlState* state, const Event& event, Millis now,
                          Random* random) {
-  Turn turn{state, now, random, {}};
-  std::visit([&](const auto& it) { Handle(&turn, it); }, event);
-  PublishIfChanged(&turn);
-  return std::move(turn.actions);
+  StepContext context{state, now, random, {}};
+  std::visit([&](const auto& it) { Handle(&context, it); }, event);
+  PublishIfChanged(&context);
+  return std::move(context.actions);
 }
 
 bool IsConfigured(const ControlState& state) { return state.config.known; }
--- a/packages/membership/src/gossip.cc
+++ b/packages/membership/src/gossip.cc
@@ -3,7 +3,7 @@
 #include <unordered_map>
 
 #include "hibiscuspick/base/hash.h"
-#include "turn.h"
+#include "step_context.h"
 
 namespace hibiscuspick::membership {
 namespace {
@@ -37,44 +37,45 @@
   for (const auto& [id, it] : table.members) {
     if (it.state.data_centre != table.data_centre) continue;
     if (it.state.phase == Phase::kGone) continue;
-    digest->heartbeat_keys.push_back(LifeKey(it.state));
+    digest->heartbeat_keys.push_back(IncarnationKey(it.state));
     digest->heartbeats.push_back(static_cast<uint32_t>(it.state.heartbeat));
   }
 }
 
-void FillAges(const Turn& turn, Digest* digest) {
-  for (const auto& [id, heard] : turn.state->table.data_centres_heard) {
-    digest->data_centres.push_back({id, turn.now - heard});
+void FillAges(const StepContext& context, Digest* digest) {
+  for (const auto& [id, heard] : context.state->table.data_centres_last_heard) {
+    digest->data_centres.push_back({id, context.now - heard});
   }
 }
 
-void TakeAges(Turn* turn, const Digest& digest) {
-  auto& table = turn->state->table;
+void MergeAges(StepContext* context, const Digest& digest) {
+  auto& table = context->state->table;
   for (const auto& it : digest.data_centres) {
     if (it.id == table.data_centre || it.age < Millis(0)) continue;
-    const auto known = table.data_centres_heard.find(it.id);
-    if (known == table.data_centres_heard.end()) continue;
-    known->second = Max(known->second, turn->now - it.age);
+    const auto known = table.data_centres_last_heard.find(it.id);
+    if (known == table.data_centres_last_heard.end()) continue;
+    known->second = Max(known->second, context->now - it.age);
   }
 }
 
 // Merges newer heartbeats and leaves in `reply` only those that are newer here.
-void TakeHeartbeats(Turn* turn, const Digest& digest, Digest* reply) {
-  auto& table = turn->state->table;
-  std::unordered_map<uint64_t, uint64_t> beats;
+void MergeHeartbeats(StepContext* context, const Digest& digest,
+                     Digest* reply) {
+  auto& table = context->state->table;
+  std::unordered_map<uint64_t, uint64_t> heartbeats;
   const size_t n =
       std::min(digest.heartbeat_keys.size(), digest.heartbeats.size());
   for (size_t i = 0; i < n; ++i) {
-    beats[digest.heartbeat_keys[i]] = digest.heartbeats[i];
+    heartbeats[digest.heartbeat_keys[i]] = digest.heartbeats[i];
   }
   for (auto& [id, it] : table.members) {
     if (it.state.data_centre != table.data_centre) continue;
     if (it.state.phase == Phase::kGone) continue;
-    const uint64_t key = LifeKey(it.state);
-    const auto beat = beats.find(key);
-    if (beat != beats.end()) {
-      MergeHeartbeat(&table, id, beat->second, turn->now);
-      if (it.state.heartbeat <= beat->second) continue;
+    const uint64_t key = IncarnationKey(it.state);
+    const auto heartbeat = heartbeats.find(key);
+    if (heartbeat != heartbeats.end()) {
+      MergeHeartbeat(&table, id, heartbeat->second, context->now);
+      if (it.state.heartbeat <= heartbeat->second) continue;
     }
     reply->heartbeat_keys.push_back(key);
     reply->heartbeats.push_back(static_cast<uint32_t>(it.state.heartbeat));
@@ -82,23 +83,23 @@
 }
 
 // Returns the entries in the buckets whose hashes differ.
-News DifferingEntries(ControlState* state, const Digest& digest) {
-  News news;
+MembershipDelta DifferingEntries(ControlState* state, const Digest& digest) {
+  MembershipDelta delta;
   if (digest.member_buckets.size() == kMemberBuckets) {
     const auto& own = MemberBucketsOf(state);
     for (const auto& [id, it] : state->table.members) {
       const size_t n = MemberBucketOf(id);
-      if (own[n] != digest.member_buckets[n]) news.members.push_back(it.state);
+      if (own[n] != digest.member_buckets[n]) delta.members.push_back(it.state);
     }
   }
   if (digest.server_buckets.size() == kServerBuckets) {
     const auto& own = ServerBucketsOf(state);
     for (const auto& [id, it] : state->servers) {
       const size_t n = ServerBucketOf(id);
-      if (own[n] != digest.server_buckets[n]) news.servers.push_back(it);
+      if (own[n] != digest.server_buckets[n]) delta.servers.push_back(it);
     }
   }
-  return news;
+  return delta;
 }
 
 bool BucketsDiffer(ControlState* state, const Digest& digest) {
@@ -118,7 +119,7 @@
 // Keeps `n` entries from a random position on, so that several exchanges
 // transfer all of them.
 template <class T>
-void Cut(std::vector<T>* entries, size_t n, Random* random) {
+void KeepRandomEntries(std::vector<T>* entries, size_t n, Random* random) {
   if (entries->size() <= n) return;
   const size_t first = random->Below(entries->size());
   std::rotate(entries->begin(),
@@ -128,40 +129,42 @@
                  entries->end());
 }
 
-void AnswerEntries(Turn* turn, const Peer& to, const Digest& digest) {
-  if (!BucketsDiffer(turn->state, digest)) return;
-  auto news = DifferingEntries(turn->state, digest);
-  const size_t n = turn->state->limits.news_entries;
-  Cut(&news.members, n, turn->random);
-  Cut(&news.servers, n, turn->random);
-  if (news.members.empty() && news.servers.empty()) return;
-  turn->actions.push_back(SendTo{to, std::move(news)});
+void ReplyWithEntries(StepContext* context, const Peer& to,
+                      const Digest& digest) {
+  if (!BucketsDiffer(context->state, digest)) return;
+  auto delta = DifferingEntries(context->state, digest);
+  const size_t n = context->state->limits.delta_entries;
+  KeepRandomEntries(&delta.members, n, context->random);
+  KeepRandomEntries(&delta.servers, n, context->random);
+  if (delta.members.empty() && delta.servers.empty()) return;
+  context->actions.push_back(SendTo{to, std::move(delta)});
 }
 
-Digest EmptyDigest(Turn* turn) {
+Digest EmptyDigest(StepContext* context) {
   Digest digest;
-  digest.sender = SelfOf(turn->state->table).state;
-  FillConfig(turn, &digest);
+  digest.sender = SelfOf(context->state->table).state;
+  FillConfigDigest(context, &digest);
   return digest;
 }
 
 // Returns a digest if buckets differ, the sender is in another data centre or
 // has newer configuration, or newer heartbeats are known here. The entries that
 // the sender lacks are sent separately.
-void ReplyTo(Turn* turn, const Peer& to, const Digest& digest, Digest reply) {
-  const auto& state = *turn->state;
-  const bool differ = BucketsDiffer(turn->state, digest);
+void ReplyWithDigest(StepContext* context, const Peer& to, const Digest& digest,
+                     Digest reply) {
+  const auto& state = *context->state;
+  const bool differ = BucketsDiffer(context->state, digest);
   const bool other_data_centre =
       digest.sender.data_centre != state.table.data_centre;
   if (!differ && !other_data_centre && reply.heartbeats.empty() &&
-      !LacksConfig(turn, digest)) {
+      !NeedsConfig(context, digest)) {
     return;
   }
   if (differ) {
-    FillBuckets(turn->state, &reply);
+    FillBuckets(context->state, &reply);
   }
-  FillAges(*turn, &reply);
-  turn->actions.push_back(SendTo{to, std::move(reply)});
+  FillAges(*context, &reply);
+  context->actions.push_back(SendTo{to, std::move(reply)});
 }
 
 std::string_view VerbOf(Phase phase) {
@@ -180,113 +183,122 @@
 
 }  // namespace
 
-void NoteMember(Turn* turn, const InstanceId& id, std::string what) {
-  const auto it = turn->state->table.members.find(id);
+void ReportMemberChange(StepContext* context, const InstanceId& id,
+                        std::string what) {
+  const auto it = context->state->table.members.find(id);
   MemberChange change;
   change.id = id;
   change.what = std::move(what);
-  if (it != turn->state->table.members.end()) {
+  if (it != context->state->table.members.end()) {
     change.data_centre = it->second.state.data_centre;
     change.phase = it->second.state.phase;
     change.suspect = it->second.suspect;
   }
-  turn->actions.push_back(std::move(change));
+  context->actions.push_back(std::move(change));
 }
 
-Merge TakeMember(Turn* turn, const MemberState& state) {
-  auto& table = turn->state->table;
+MergeResult MergeReport(StepContext* context, const MemberState& state) {
+  auto& table = context->state->table;
   const auto before = SelfOf(table).state.incarnation;
-  const Merge merge = MergeMember(&table, state, turn->now);
-  if (merge == Merge::kChanged) {
-    NoteMember(turn, state.id, std::string(VerbOf(state.phase)));
+  const MergeResult merge = MergeMember(&table, state, context->now);
+  if (merge == MergeResult::kChanged) {
+    ReportMemberChange(context, state.id, std::string(VerbOf(state.phase)));
   }
-  if (merge != Merge::kRefuted) return merge;
-  NoteMember(turn, state.id,
-             "refutes a report that it " + std::string(VerbOf(state.phase)));
+  if (merge != MergeResult::kRefuted) return merge;
+  ReportMemberChange(
+      context, state.id,
+      "refutes a report that it " + std::string(VerbOf(state.phase)));
   const auto after = SelfOf(table).state.incarnation;
-  if (after != before) turn->actions.push_back(AdoptIncarnation{after});
-  PushSelf(turn);
+  if (after != before) context->actions.push_back(AdoptIncarnation{after});
+  PushSelf(context);
   return merge;
 }
 
-Digest MakeDigest(Turn* turn, bool to_own_data_centre) {
-  auto digest = EmptyDigest(turn);
-  FillBuckets(turn->state, &digest);
-  if (to_own_data_centre) FillHeartbeats(turn->state->table, &digest);
-  FillAges(*turn, &digest);
+Digest MakeDigest(StepContext* context, bool to_own_data_centre) {
+  auto digest = EmptyDigest(context);
+  FillBuckets(context->state, &digest);
+  if (to_own_data_centre) FillHeartbeats(context->state->table, &digest);
+  FillAges(*context, &digest);
   return digest;
 }
 
-void SendDigests(Turn* turn) {
-  const auto& state = *turn->state;
+void SendDigests(StepContext* context) {
+  const auto& state = *context->state;
   const auto& table = state.table;
-  auto peers = PickPeers(turn, table.data_centre, state.limits.digest_peers);
+  auto peers = PickPeers(context, table.data_centre, state.limits.digest_peers);
   const size_t offset = Hash(table.self.text) % state.limits.cross_ticks;
   const auto others = OtherDataCentres(state);
   if (!others.empty() &&
       (state.ticks + offset) % state.limits.cross_ticks == 0) {
-    const auto& id = others[turn->random->Below(others.size())];
-    for (auto& it : PickPeers(turn, id, 1)) peers.push_back(std::move(it));
+    const auto& id = others[context->random->Below(others.size())];
+    for (auto& it : PickPeers(context, id, 1)) peers.push_back(std::move(it));
   }
   // Unconnected instances are contacted each tick if there is no other peer,
   // else at random, once in this many ticks.
-  constexpr size_t kStrangerOneIn = 8;
-  if (peers.empty() || turn->random->Below(kStrangerOneIn) == 0) {
-    if (auto it = PickStranger(turn)) peers.push_back(std::move(*it));
+  constexpr size_t kUnconnectedOneIn = 8;
+  if (peers.empty() || context->random->Below(kUnconnectedOneIn) == 0) {
+    if (auto it = PickUnconnected(context)) peers.push_back(std::move(*it));
   }
   for (auto& it : peers) {
     const auto known = table.members.find(it.id);
     const bool own = known != table.members.end() &&
                      known->second.state.data_centre == table.data_centre;
-    auto digest = MakeDigest(turn, own);
+    auto digest = MakeDigest(context, own);
     digest.reply_wanted = true;
-    turn->actions.push_back(SendTo{std::move(it), std::move(digest)});
+    context->actions.push_back(SendTo{std::move(it), std::move(digest)});
   }
 }
 
-void HandleDigest(Turn* turn, const InstanceId& from, const Digest& digest) {
-  auto& table = turn->state->table;
+void HandleDigest(StepContext* context, const InstanceId& from,
+                  const Digest& digest) {
+  auto& table = context->state->table;
   if (digest.sender.id != from || from == table.self) return;
-  TakeMember(turn, digest.sender);
+  MergeReport(context, digest.sender);
   const bool own = digest.sender.data_centre == table.data_centre;
-  if (!own) table.data_centres_heard[digest.sender.data_centre] = turn->now;
-  TakeAges(turn, digest);
-  TakeConfigAge(turn, digest);
-  auto reply = EmptyDigest(turn);
-  if (own) TakeHeartbeats(turn, digest, &reply);
+  if (!own)
+    table.data_centres_last_heard[digest.sender.data_centre] = context->now;
+  MergeAges(context, digest);
+  MergeConfigAge(context, digest);
+  auto reply = EmptyDigest(context);
+  if (own) MergeHeartbeats(context, digest, &reply);
   const auto to = PeerOf(digest.sender);
-  AnswerConfig(turn, to, digest);
-  AnswerEntries(turn, to, digest);
-  if (digest.reply_wanted) ReplyTo(turn, to, digest, std::move(reply));
+  ReplyWithConfig(context, to, digest);
+  ReplyWithEntries(context, to, digest);
+  if (digest.reply_wanted)
+    ReplyWithDigest(context, to, digest, std::move(reply));
 }
 
-void HandleNews(Turn* turn, const InstanceId& from, const News& news) {
-  News changed;
-  for (const auto& it : news.members) {
-    if (TakeMember(turn, it) == Merge::kChanged) changed.members.push_back(it);
+void HandleMembershipDelta(StepContext* context, const InstanceId& from,
+                           const MembershipDelta& delta) {
+  MembershipDelta changed;
+  for (const auto& it : delta.members) {
+    if (MergeReport(context, it) == MergeResult::kChanged)
+      changed.members.push_back(it);
   }
-  for (const auto& it : news.servers) {
-    if (!MergeServer(&turn->state->servers, it)) continue;
-    ++turn->state->servers_generation;
+  for (const auto& it : delta.servers) {
+    if (!MergeDrainReport(&context->state->servers, it)) continue;
+    ++context->state->servers_generation;
     changed.servers.push_back(it);
   }
-  if (news.pass_on) {
-    PushNews(turn, std::move(changed), Reach::kOwnDataCentre, from);
+  if (delta.pass_on) {
+    PushMembershipDelta(context, std::move(changed), PushScope::kOwnDataCentre,
+                        from);
   }
 }
 
-void PushNews(Turn* turn, News news, Reach reach, const InstanceId& except) {
-  if (news.members.empty() && news.servers.empty()) return;
-  news.pass_on = true;
-  for (auto& it : PushPeers(turn, reach, except)) {
-    turn->actions.push_back(SendTo{std::move(it), news});
+void PushMembershipDelta(StepContext* context, MembershipDelta delta,
+                         PushScope scope, const InstanceId& except) {
+  if (delta.members.empty() && delta.servers.empty()) return;
+  delta.pass_on = true;
+  for (auto& it : PushPeers(context, scope, except)) {
+    context->actions.push_back(SendTo{std::move(it), delta});
   }
 }
 
-void PushSelf(Turn* turn) {
-  News news;
-  news.members.push_back(SelfOf(turn->state->table).state);
-  PushNews(turn, std::move(news), Reach::kAll, {});
+void PushSelf(StepContext* context) {
+  MembershipDelta delta;
+  delta.members.push_back(SelfOf(context->state->table).state);
+  PushMembershipDelta(context, std::move(delta), PushScope::kAll, {});
 }
 
 }  // namespace hibiscuspick::membership
--- a/packages/membership/src/member.cc
+++ b/packages/membership/src/member.cc
@@ -12,7 +12,7 @@
          std::tie(b.incarnation, b.refutations, b.phase);
 }
 
-uint64_t LifeKey(const MemberState& state) {
+uint64_t IncarnationKey(const MemberState& state) {
   return Hash(state.id.text, state.incarnation.value * 31 + state.refutations);
 }
 
--- a/packages/membership/src/member_table.cc
+++ b/packages/membership/src/member_table.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // Raises this instance's entry above a report that contradicts it.
-Merge MergeSelf(MemberTable* table, const MemberState& state) {
+MergeResult MergeSelf(MemberTable* table, const MemberState& state) {
   auto& self = SelfOf(table).state;
-  if (!Replaces(state, self)) return Merge::kOld;
+  if (!Replaces(state, self)) return MergeResult::kNotNewer;
   ++table->generation;
   if (state.incarnation > self.incarnation) {
     // An earlier incarnation had a higher number because its machine's clock
@@ -18,34 +18,34 @@
     // reports.
     self.incarnation = Incarnation(state.incarnation.value + 1);
     self.refutations = 0;
-    return Merge::kRefuted;
+    return MergeResult::kRefuted;
   }
-  const bool told_to_leave =
+  const bool reported_leaving =
       state.refutations == self.refutations && state.phase == Phase::kLeaving;
-  if (told_to_leave && !table->refute_leaving) {
+  if (reported_leaving && !table->refute_leaving) {
     self.phase = Phase::kLeaving;
-    return Merge::kChanged;
+    return MergeResult::kChanged;
   }
   self.refutations = state.refutations + 1;
-  return Merge::kRefuted;
+  return MergeResult::kRefuted;
 }
 
 bool IsSilent(Millis silence, Millis limit) { return silence > limit; }
 
 // Counts the other members of this data centre and the silent ones among them.
-struct Silence {
+struct SilenceCounts {
   size_t others = 0;
   size_t silent = 0;
 };
 
-Silence SilenceOf(const MemberTable& table, const MemberLimits& limits,
-                  Millis now) {
-  Silence result;
+SilenceCounts CountSilent(const MemberTable& table, const MemberLimits& limits,
+                          Millis now) {
+  SilenceCounts result;
   for (const auto& [id, it] : table.members) {
     if (id == table.self || it.state.phase == Phase::kGone) continue;
     if (it.state.data_centre != table.data_centre) continue;
     ++result.others;
-    if (IsSilent(now - it.heard, limits.suspect_after)) ++result.silent;
+    if (IsSilent(now - it.last_heard, limits.suspect_after)) ++result.silent;
   }
   return result;
 }
@@ -56,43 +56,44 @@
 // them refute it, so the limit is longer.
 Millis GoneAfter(const MemberTable& table, const MemberLimits& limits,
                  Millis now) {
-  constexpr size_t kFewest = 3;
-  const auto seen = SilenceOf(table, limits, now);
-  const bool most = seen.silent >= kFewest && seen.silent * 2 > seen.others;
+  constexpr size_t kMinSilent = 3;
+  const auto seen = CountSilent(table, limits, now);
+  const bool most = seen.silent >= kMinSilent && seen.silent * 2 > seen.others;
   return most ? limits.most_gone_after : limits.gone_after;
 }
 
 bool IsSuspect(const MemberTable& table, const MemberLimits& limits,
                const Member& member, Millis now) {
-  if (member.failed && now - *member.failed < limits.distrust_failed_for) {
+  if (member.last_failure &&
+      now - *member.last_failure < limits.suspect_failed_for) {
     return true;
   }
   if (member.state.data_centre == table.data_centre) {
-    return IsSilent(now - member.heard, limits.suspect_after);
+    return IsSilent(now - member.last_heard, limits.suspect_after);
   }
-  const auto it = table.data_centres_heard.find(member.state.data_centre);
-  return it == table.data_centres_heard.end() ||
+  const auto it = table.data_centres_last_heard.find(member.state.data_centre);
+  return it == table.data_centres_last_heard.end() ||
          IsSilent(now - it->second, limits.data_centre_suspect_after);
 }
 
 bool IsForgotten(const MemberTable& table, const MemberLimits& limits,
                  const Member& member, Millis now) {
   if (member.state.phase == Phase::kGone) {
-    return IsSilent(now - member.heard, limits.forget_after);
+    return IsSilent(now - member.last_heard, limits.forget_after);
   }
   if (member.state.data_centre == table.data_centre) return false;
-  const auto it = table.data_centres_heard.find(member.state.data_centre);
-  return it != table.data_centres_heard.end() &&
+  const auto it = table.data_centres_last_heard.find(member.state.data_centre);
+  return it != table.data_centres_last_heard.end() &&
          IsSilent(now - it->second, limits.forget_after);
 }
 
-void JudgeSuspicion(MemberTable* table, const MemberLimits& limits, Millis now,
-                    Member* member, SweepResult* result) {
+void UpdateSuspicion(MemberTable* table, const MemberLimits& limits, Millis now,
+                     Member* member, SweepResult* result) {
   const bool suspect = IsSuspect(*table, limits, *member, now);
   if (suspect == member->suspect) return;
   member->suspect = suspect;
   ++table->generation;
-  auto& list = suspect ? result->suspected : result->trusted;
+  auto& list = suspect ? result->suspected : result->recovered;
   list.push_back(member->state.id);
 }
 
@@ -104,44 +105,46 @@
   return table.members.at(table.self);
 }
 
-Merge MergeMember(MemberTable* table, const MemberState& state, Millis now) {
+MergeResult MergeMember(MemberTable* table, const MemberState& state,
+                        Millis now) {
   if (state.id == table->self) return MergeSelf(table, state);
   const auto it = table->members.find(state.id);
   if (it == table->members.end()) {
     // Accepting a gone instance would let a forgotten one circulate forever.
-    if (state.phase == Phase::kGone) return Merge::kOld;
+    if (state.phase == Phase::kGone) return MergeResult::kNotNewer;
     table->members[state.id] = Member{state, now, false, std::nullopt};
-    table->data_centres_heard.try_emplace(state.data_centre, now);
+    table->data_centres_last_heard.try_emplace(state.data_centre, now);
     ++table->generation;
-    return Merge::kChanged;
+    return MergeResult::kChanged;
   }
   auto& known = it->second;
   if (Replaces(state, known.state)) {
     known = Member{state, now, false, std::nullopt};
     ++table->generation;
-    return Merge::kChanged;
+    return MergeResult::kChanged;
   }
-  if (Replaces(known.state, state)) return Merge::kOld;
-  const bool risen = MergeHeartbeat(table, state.id, state.heartbeat, now);
-  return risen ? Merge::kHeartbeat : Merge::kOld;
+  if (Replaces(known.state, state)) return MergeResult::kNotNewer;
+  const bool newer = MergeHeartbeat(table, state.id, state.heartbeat, now);
+  return newer ? MergeResult::kHeartbeat : MergeResult::kNotNewer;
 }
 
-bool MergeHeartbeat(MemberTable* table, const InstanceId& id, uint64_t beat,
-                    Millis now) {
+bool MergeHeartbeat(MemberTable* table, const InstanceId& id,
+                    uint64_t heartbeat, Millis now) {
   if (id == table->self) return false;
   const auto it = table->members.find(id);
   if (it == table->members.end()) return false;
   auto& known = it->second;
   if (known.state.phase == Phase::kGone) return false;
-  if (beat <= known.state.heartbeat) return false;
-  known.state.heartbeat = beat;
-  known.heard = now;
+  if (heartbeat <= known.state.heartbeat) return false;
+  known.state.heartbeat = heartbeat;
+  known.last_heard = now;
   return true;
 }
 
 void MarkFailed(MemberTable* table, const InstanceId& id, Millis now) {
   const auto it = table->members.find(id);
-  if (it != table->members.end() && id != table->self) it->second.failed = now;
+  if (it != table->members.end() && id != table->self)
+    it->second.last_failure = now;
 }
 
 SweepResult Sweep(MemberTable* table, const MemberLimits& limits, Millis now) {
@@ -155,14 +158,14 @@
     }
     if (it.state.phase == Phase::kGone) continue;
     if (it.state.data_centre == table->data_centre &&
-        IsSilent(now - it.heard, gone_after)) {
+        IsSilent(now - it.last_heard, gone_after)) {
       it.state.phase = Phase::kGone;
-      it.heard = now;
+      it.last_heard = now;
       ++table->generation;
       result.gone.push_back(id);
       continue;
     }
-    JudgeSuspicion(table, limits, now, &it, &result);
+    UpdateSuspicion(table, limits, now, &it, &result);
   }
   for (const auto& id : result.forgotten) {
     table->members.erase(id);
@@ -171,9 +174,9 @@
   return result;
 }
 
-void ForgivePause(MemberTable* table, Millis pause) {
-  for (auto& [id, it] : table->members) it.heard += pause;
-  for (auto& [id, it] : table->data_centres_heard) it += pause;
+void DiscountPause(MemberTable* table, Millis pause) {
+  for (auto& [id, it] : table->members) it.last_heard += pause;
+  for (auto& [id, it] : table->data_centres_last_heard) it += pause;
 }
 
 size_t MemberBucketOf(const InstanceId& id) {
@@ -184,7 +187,7 @@
   MemberBuckets buckets{};
   for (const auto& [id, it] : table.members) {
     if (it.state.phase == Phase::kGone) continue;
-    uint64_t hash = LifeKey(it.state);
+    uint64_t hash = IncarnationKey(it.state);
     hash = Hash(it.state.inner.ip, hash ^ it.state.inner.port);
     hash = Hash(it.state.data_centre.text,
                 hash ^ static_cast<uint64_t>(it.state.phase));
--- a/packages/membership/src/peers.cc
+++ b/packages/membership/src/peers.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <set>
 
-#include "turn.h"
+#include "step_context.h"
 
 namespace hibiscuspick::membership {
 namespace {
@@ -35,18 +35,19 @@
   return {member.id, member.inner, member.incarnation};
 }
 
-std::vector<Peer> PickPeers(Turn* turn, const DataCentreId& data_centre,
-                            size_t n, const InstanceId& except) {
+std::vector<Peer> PickPeers(StepContext* context,
+                            const DataCentreId& data_centre, size_t n,
+                            const InstanceId& except) {
   std::vector<Peer> trusted;
   std::vector<Peer> suspects;
-  for (const auto& [id, it] : turn->state->table.members) {
-    if (id == turn->state->table.self || id == except) continue;
+  for (const auto& [id, it] : context->state->table.members) {
+    if (id == context->state->table.self || id == except) continue;
     if (it.state.data_centre != data_centre) continue;
     if (it.state.phase == Phase::kGone) continue;
     (it.suspect ? suspects : trusted).push_back(PeerOf(it.state));
   }
   return Sample(trusted.empty() ? std::move(suspects) : std::move(trusted), n,
-                turn->random);
+                context->random);
 }
 
 std::vector<DataCentreId> OtherDataCentres(const ControlState& state) {
@@ -58,33 +59,34 @@
   return {ids.begin(), ids.end()};
 }
 
-std::vector<Peer> PushPeers(Turn* turn, Reach reach, const InstanceId& except) {
-  const auto& limits = turn->state->limits;
-  auto peers = PickPeers(turn, turn->state->table.data_centre,
+std::vector<Peer> PushPeers(StepContext* context, PushScope scope,
+                            const InstanceId& except) {
+  const auto& limits = context->state->limits;
+  auto peers = PickPeers(context, context->state->table.data_centre,
                          limits.push_peers, except);
-  if (reach == Reach::kOwnDataCentre) return peers;
-  for (const auto& it : OtherDataCentres(*turn->state)) {
-    Append(PickPeers(turn, it, limits.cross_push_peers, except), &peers);
+  if (scope == PushScope::kOwnDataCentre) return peers;
+  for (const auto& it : OtherDataCentres(*context->state)) {
+    Append(PickPeers(context, it, limits.cross_push_peers, except), &peers);
   }
   return peers;
 }
 
-std::optional<Peer> PickStranger(Turn* turn) {
-  const auto& state = *turn->state;
-  std::vector<Peer> strangers;
+std::optional<Peer> PickUnconnected(StepContext* context) {
+  const auto& state = *context->state;
+  std::vector<Peer> candidates;
   for (const auto& [id, it] : state.table.members) {
     if (id == state.table.self) continue;
     if (it.suspect || it.state.phase == Phase::kGone) {
-      strangers.push_back(PeerOf(it.state));
+      candidates.push_back(PeerOf(it.state));
     }
   }
   for (const auto& it : state.listed) {
-    if (!state.table.members.contains(it.id)) strangers.push_back(it);
+    if (!state.table.members.contains(it.id)) candidates.push_back(it);
   }
   for (const auto& it : state.seeds) {
-    if (!IsKnown(state.table, it)) strangers.push_back({{}, it, {}});
+    if (!IsKnown(state.table, it)) candidates.push_back({{}, it, {}});
   }
-  auto picked = Sample(std::move(strangers), 1, turn->random);
+  auto picked = Sample(std::move(candidates), 1, context->random);
   if (picked.empty()) return std::nullopt;
   return std::move(picked.front());
 }
--- a/packages/membership/tests/fleet.h
+++ b/packages/membership/tests/fleet.h
@@ -32,11 +32,11 @@
   bool watching = false;
   ViewPointer view;
   // Messages received during a pause.
-  std::vector<std::pair<InstanceId, GossipMessage>> held;
+  std::vector<std::pair<InstanceId, GossipMessage>> pending_messages;
   // Highest versions seen in this incarnation, to detect one that decreases.
   std::map<std::string, Revision> versions;
   Revision complete_to;
-  bool went_back = false;
+  bool regressed = false;
   // Live nodes that this node wrongly reported as suspect or as gone.
   size_t false_suspicions = 0;
   size_t false_deaths = 0;
@@ -94,29 +94,30 @@
 
   void Kill(SimulatedNode* node) {
     node->alive = false;
-    ++lives_[node->self.id];
+    ++incarnations_[node->self.id];
   }
 
   // Starts a new incarnation of a dead node, without any of its state.
   void Start(SimulatedNode* node) {
-    const uint64_t life = ++lives_[node->self.id];
-    node->self.incarnation = Incarnation(1000000 + life);
+    const uint64_t incarnation = ++incarnations_[node->self.id];
+    node->self.incarnation = Incarnation(1000000 + incarnation);
     node->self.phase = Phase::kStarting;
     node->control = StartControl(node->self, Seeds(*node), limits);
     node->alive = true;
     node->paused = false;
     node->watching = false;
-    node->held.clear();
+    node->pending_messages.clear();
     node->versions.clear();
     node->complete_to = Revision();
-    ScheduleTick(node, life, Millis(random_.Fraction() * limits.tick.count));
+    ScheduleTick(node, incarnation,
+                 Millis(random_.Fraction() * limits.tick.count));
   }
 
   void Pause(SimulatedNode* node) { node->paused = true; }
   void Wake(SimulatedNode* node) {
     node->paused = false;
-    auto held = std::exchange(node->held, {});
-    for (auto& [from, message] : held) {
+    auto pending = std::exchange(node->pending_messages, {});
+    for (auto& [from, message] : pending) {
       Feed(node, MessageFrom{from, std::move(message)});
     }
   }
@@ -132,7 +133,7 @@
   }
 
   // Writes an object to the platform that no node learns of except by watching.
-  Revision WriteAside(const std::string& name, const std::string& text) {
+  Revision WriteAtPlatform(const std::string& name, const std::string& text) {
     const Revision version(++platform_revision_);
     platform_[name] = {name, version, text};
     return version;
@@ -202,8 +203,8 @@
     });
   }
 
-  bool NeverWentBack() const {
-    return All([](const auto& node) { return !node.went_back; });
+  bool NeverRegressed() const {
+    return All([](const auto& node) { return !node.regressed; });
   }
 
  private:
@@ -234,23 +235,24 @@
     return seeds;
   }
 
-  bool IsLife(const SimulatedNode& node, uint64_t life) const {
-    return node.alive && lives_.at(node.self.id) == life;
+  bool IsCurrentIncarnation(const SimulatedNode& node,
+                            uint64_t incarnation) const {
+    return node.alive && incarnations_.at(node.self.id) == incarnation;
   }
 
-  void ScheduleTick(SimulatedNode* node, uint64_t life, Millis delay) {
-    Schedule(delay, [this, node, life] {
-      if (!IsLife(*node, life)) return;
+  void ScheduleTick(SimulatedNode* node, uint64_t incarnation, Millis delay) {
+    Schedule(delay, [this, node, incarnation] {
+      if (!IsCurrentIncarnation(*node, incarnation)) return;
       Feed(node, Tick{});
-      if (!node->paused && node->watching) AskPlatform(node);
+      if (!node->paused && node->watching) PollPlatform(node);
       if (!node->paused && IsConfigured(node->control)) {
         Feed(node, SelfPhase{Phase::kServing});
       }
-      ScheduleTick(node, life, limits.tick);
+      ScheduleTick(node, incarnation, limits.tick);
     });
   }
 
-  void AskPlatform(SimulatedNode* node) {
+  void PollPlatform(SimulatedNode* node) {
     if (!platform_up) return;
     const Revision known = node->control.config.complete_to;
     settings::ConfigDelta delta{known, Revision(platform_revision_), {}};
@@ -292,15 +294,16 @@
       return;
     }
     if (random_.Fraction() < loss) return;
-    const bool near = to->self.data_centre == node->self.data_centre;
-    const Millis delay((near ? 0.3 : 3.0) + random_.Fraction());
-    const uint64_t life = lives_.at(to->self.id);
-    Schedule(delay, [this, to, life, from = node->self.id, size,
+    const bool same_data_centre =
+        to->self.data_centre == node->self.data_centre;
+    const Millis delay((same_data_centre ? 0.3 : 3.0) + random_.Fraction());
+    const uint64_t incarnation = incarnations_.at(to->self.id);
+    Schedule(delay, [this, to, incarnation, from = node->self.id, size,
                      message = std::move(action->message)] {
-      if (!IsLife(*to, life)) return;
+      if (!IsCurrentIncarnation(*to, incarnation)) return;
       to->traffic.bytes_received += size;
       if (to->paused) {
-        to->held.emplace_back(from, message);
+        to->pending_messages.emplace_back(from, message);
       } else {
         Feed(to, MessageFrom{from, message});
       }
@@ -329,12 +332,12 @@
 
   static void CheckConfig(SimulatedNode* node) {
     const auto& config = node->control.config;
-    if (config.complete_to < node->complete_to) node->went_back = true;
+    if (config.complete_to < node->complete_to) node->regressed = true;
     node->complete_to = config.complete_to;
-    if (config.objects.size() < node->versions.size()) node->went_back = true;
+    if (config.objects.size() < node->versions.size()) node->regressed = true;
     for (const auto& [name, it] : config.objects) {
       auto& version = node->versions[name];
-      if (it.version < version) node->went_back = true;
+      if (it.version < version) node->regressed = true;
       version = it.version;
     }
   }
@@ -345,7 +348,7 @@
   size_t count_ = 0;
   std::priority_queue<Scheduled> events_;
   std::map<InstanceId, std::unique_ptr<SimulatedNode>> nodes_;
-  std::map<InstanceId, uint64_t> lives_;
+  std::map<InstanceId, uint64_t> incarnations_;
   uint64_t platform_revision_ = 0;
   std::map<std::string, settings::ConfigObject> platform_;
 };
--- a/packages/membership/tests/fleet_test.cc
+++ b/packages/membership/tests/fleet_test.cc
@@ -13,10 +13,10 @@
 using hibiscuspick::kNever;
 using hibiscuspick::Millis;
 using hibiscuspick::Revision;
+using hibiscuspick::membership::DrainReport;
 using hibiscuspick::membership::IsConfigured;
 using hibiscuspick::membership::IsDraining;
-using hibiscuspick::membership::LocalNews;
-using hibiscuspick::membership::ServerNews;
+using hibiscuspick::membership::LocalDrain;
 using hibiscuspick::membership::testing::Fleet;
 using hibiscuspick::membership::testing::SimulatedNode;
 
@@ -28,7 +28,7 @@
 // Starts three data centres and waits until all members know each other and
 // have the same configuration.
 void StartFleet(Fleet* fleet, size_t per_data_centre) {
-  fleet->WriteAside("services/claims", "1");
+  fleet->WriteAtPlatform("services/claims", "1");
   fleet->AddMany(3, per_data_centre);
   const auto ready = [&] {
     return fleet->Converged() && fleet->ConfigAgrees();
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(a_new_fleet_finds_itself, data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(new_cluster_converges, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 12);
   size_t watchers = 0;
@@ -83,13 +83,13 @@
   fleet.loss = 0;
   const auto healed = [&] { return fleet.Converged() && fleet.ConfigAgrees(); };
   BOOST_TEST((fleet.RunUntil(healed, kMinute) != kNever));
-  BOOST_TEST(fleet.NeverWentBack());
+  BOOST_TEST(fleet.NeverRegressed());
 }
 
 // A data centre is cut off for five minutes, and changes are made on both
 // sides. Afterwards its instances must no longer be suspect, and all instances
 // must have the newest version of every object.
-BOOST_DATA_TEST_CASE(a_cut_off_data_centre_comes_back, data::make(kSeeds),
+BOOST_DATA_TEST_CASE(partitioned_data_centre_recovers, data::make(kSeeds),
                      seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -104,14 +104,14 @@
   fleet.cut = nullptr;
   const auto healed = [&] { return fleet.Converged() && fleet.ConfigAgrees(); };
   BOOST_TEST((fleet.RunUntil(healed, kMinute) != kNever));
-  BOOST_TEST(fleet.NeverWentBack());
+  BOOST_TEST(fleet.NeverRegressed());
 }
 
 // A switch failure splits a data centre for so long that each half considers
 // the other gone. Without contacts to gone members the halves would never merge
 // again.
-BOOST_DATA_TEST_CASE(the_halves_of_a_split_data_centre_meet_again,
-                     data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(halves_of_a_split_data_centre_merge, data::make(kSeeds),
+                     seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
   fleet.list_up = false;
@@ -130,13 +130,15 @@
 
 // One direction of an instance's link fails: it receives messages, but none of
 // its own arrive. After the repair it must become a member again.
-BOOST_DATA_TEST_CASE(a_one_way_cut_heals, data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(one_way_partition_recovers, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
-  const auto mute = fleet.at("d0-3").self.id;
-  fleet.cut = [mute](const auto& a, const auto&) { return a.self.id == mute; };
+  const auto muted = fleet.at("d0-3").self.id;
+  fleet.cut = [muted](const auto& a, const auto&) {
+    return a.self.id == muted;
+  };
   fleet.RunFor(kMinute);
-  BOOST_TEST(!fleet.at("d0-4").view->members.contains(mute));
+  BOOST_TEST(!fleet.at("d0-4").view->members.contains(muted));
   fleet.cut = nullptr;
   BOOST_TEST(
       (fleet.RunUntil([&] { return fleet.Converged(); }, kMinute) != kNever));
@@ -145,32 +147,32 @@
 // An instance is paused for two minutes, considered gone, and its connections
 // are reset. When it resumes, it must not report the others as gone, which
 // appear silent to it, and must become a member again.
-BOOST_DATA_TEST_CASE(a_paused_instance_wakes, data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(paused_instance_resumes, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
-  auto& sleeper = fleet.at("d1-2");
-  fleet.Pause(&sleeper);
+  auto& paused = fleet.at("d1-2");
+  fleet.Pause(&paused);
   fleet.RunFor(kMinute * 2);
-  BOOST_TEST(!fleet.at("d1-0").view->members.contains(sleeper.self.id));
-  sleeper.held.clear();
-  fleet.Wake(&sleeper);
+  BOOST_TEST(!fleet.at("d1-0").view->members.contains(paused.self.id));
+  paused.pending_messages.clear();
+  fleet.Wake(&paused);
   BOOST_TEST(
       (fleet.RunUntil([&] { return fleet.Converged(); }, kMinute) != kNever));
-  BOOST_TEST(sleeper.false_deaths == 0U);
-  BOOST_TEST(!sleeper.went_back);
+  BOOST_TEST(paused.false_deaths == 0U);
+  BOOST_TEST(!paused.regressed);
 }
 
 // A backend server reports that it is draining while messages are lost. All
 // instances must know within seconds, or it gets requests after it was promised
 // none.
-BOOST_DATA_TEST_CASE(news_of_a_drain_is_everywhere_in_seconds,
-                     data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(drain_reaches_all_instances_in_seconds, data::make(kSeeds),
+                     seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 20);
   fleet.loss = 0.1;
   const BackendServerId server("b7");
-  const ServerNews news{server, Incarnation(1), 0, true};
-  fleet.Feed(&fleet.at("d0-0"), LocalNews{news});
+  const DrainReport report{server, Incarnation(1), 0, true};
+  fleet.Feed(&fleet.at("d0-0"), LocalDrain{report});
   const auto known = [&] {
     return fleet.All(
         [&](const auto& it) { return IsDraining(*it.view, server); });
@@ -178,7 +180,7 @@
   BOOST_TEST((fleet.RunUntil(known, Millis(10000)) != kNever));
   // A later report from an instance that does not know the drain yet changes
   // nothing.
-  fleet.Feed(&fleet.at("d1-0"), LocalNews{{server, Incarnation(1), 0, false}});
+  fleet.Feed(&fleet.at("d1-0"), LocalDrain{{server, Incarnation(1), 0, false}});
   fleet.RunFor(Millis(5000));
   BOOST_TEST(known());
 }
@@ -186,12 +188,13 @@
 // Guards against changes that are spread by digests alone, which takes seconds,
 // so that a draining server gets requests until then. Most instances must get a
 // change by push.
-BOOST_DATA_TEST_CASE(most_hear_of_a_change_by_push, data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(most_instances_get_changes_by_push, data::make(kSeeds),
+                     seed) {
   constexpr Millis kPush{100};
   Fleet fleet(seed);
   StartFleet(&fleet, 20);
   const BackendServerId server("b7");
-  fleet.Feed(&fleet.at("d0-0"), LocalNews{{server, Incarnation(1), 0, true}});
+  fleet.Feed(&fleet.at("d0-0"), LocalDrain{{server, Incarnation(1), 0, true}});
   fleet.Write(&fleet.at("d1-0"), "routes/a", "new");
   fleet.RunFor(kPush);
   int drains = 0;
@@ -206,7 +209,7 @@
 
 // All instances are replaced one after another while the platform is down. Each
 // must get the configuration from its peers.
-BOOST_DATA_TEST_CASE(replaced_one_by_one_the_fleet_keeps_its_configuration,
+BOOST_DATA_TEST_CASE(rolling_replacement_keeps_the_configuration,
                      data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -226,7 +229,7 @@
 
 // All instances are replaced at once while the platform is down. No instance
 // has a configuration, and none may report itself ready.
-BOOST_AUTO_TEST_CASE(replaced_at_once_without_the_platform_nobody_is_ready) {
+BOOST_AUTO_TEST_CASE(simultaneous_replacement_without_platform_is_not_ready) {
   Fleet fleet(1);
   StartFleet(&fleet, 10);
   fleet.platform_up = false;
@@ -242,7 +245,7 @@
 
 // The platform fails and recovers. Most instances never call it, yet each must
 // know how old its configuration is, since its answers say so.
-BOOST_DATA_TEST_CASE(all_know_how_long_the_platform_is_silent,
+BOOST_DATA_TEST_CASE(all_instances_know_the_configuration_age,
                      data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
@@ -266,7 +269,7 @@
 
 // The two instances that watch the platform are killed. Others must take over,
 // or changes made elsewhere would never arrive.
-BOOST_DATA_TEST_CASE(the_watch_is_taken_over, data::make(kSeeds), seed) {
+BOOST_DATA_TEST_CASE(watch_fails_over, data::make(kSeeds), seed) {
   Fleet fleet(seed);
   StartFleet(&fleet, 10);
   fleet.RunFor(Millis(5000));
@@ -274,7 +277,7 @@
     if (it->watching) fleet.Kill(it.get());
   }
   fleet.RunFor(Millis(5000));
-  fleet.WriteAside("routes/a", "written elsewhere");
+  fleet.WriteAtPlatform("routes/a", "written elsewhere");
   const auto known = [&] { return fleet.ConfigAgrees(); };
   BOOST_TEST((fleet.RunUntil(known, Millis(20000)) != kNever));
 }
--- a/packages/membership/tests/membership_test.cc
+++ b/packages/membership/tests/membership_test.cc
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
+#include "hibiscuspick/membership/drain_table.h"
 #include "hibiscuspick/membership/member_table.h"
-#include "hibiscuspick/membership/server_news.h"
 
 namespace data = boost::unit_test::data;
 using hibiscuspick::BackendServerId;
@@ -12,19 +12,19 @@
 using hibiscuspick::Incarnation;
 using hibiscuspick::InstanceId;
 using hibiscuspick::Millis;
-using hibiscuspick::membership::ForgivePause;
+using hibiscuspick::membership::DiscountPause;
+using hibiscuspick::membership::DrainReport;
+using hibiscuspick::membership::DrainTable;
+using hibiscuspick::membership::MakeUndrainReport;
 using hibiscuspick::membership::MemberLimits;
 using hibiscuspick::membership::MemberState;
 using hibiscuspick::membership::MemberTable;
-using hibiscuspick::membership::Merge;
+using hibiscuspick::membership::MergeDrainReport;
 using hibiscuspick::membership::MergeMember;
-using hibiscuspick::membership::MergeServer;
+using hibiscuspick::membership::MergeResult;
 using hibiscuspick::membership::Phase;
 using hibiscuspick::membership::SelfOf;
-using hibiscuspick::membership::ServerNews;
-using hibiscuspick::membership::ServerNewsTable;
 using hibiscuspick::membership::Sweep;
-using hibiscuspick::membership::UndrainOf;
 
 namespace {
 
@@ -57,7 +57,7 @@
   std::string name;
   MemberState known;
   MemberState report;
-  Merge merge;
+  MergeResult merge;
 };
 std::ostream& operator<<(std::ostream& out, const OrderCase& it) {
   return out << it.name;
@@ -65,25 +65,25 @@
 
 const OrderCase kOrders[] = {
     {"later phase", StateOf("b", 1, Phase::kServing),
-     StateOf("b", 1, Phase::kLeaving), Merge::kChanged},
+     StateOf("b", 1, Phase::kLeaving), MergeResult::kChanged},
     {"earlier phase", StateOf("b", 1, Phase::kLeaving),
-     StateOf("b", 1, Phase::kServing), Merge::kOld},
-    {"the gone stay gone", StateOf("b", 1, Phase::kGone),
-     StateOf("b", 1, Phase::kServing), Merge::kOld},
-    {"a contradiction brings back", StateOf("b", 1, Phase::kGone),
-     StateOf("b", 1, Phase::kServing, 1), Merge::kChanged},
-    {"an old contradiction does not", StateOf("b", 1, Phase::kGone, 1),
-     StateOf("b", 1, Phase::kServing, 1), Merge::kOld},
-    {"later life", StateOf("b", 1, Phase::kGone),
-     StateOf("b", 2, Phase::kStarting), Merge::kChanged},
-    {"former life", StateOf("b", 2, Phase::kStarting),
-     StateOf("b", 1, Phase::kGone, 9), Merge::kOld},
+     StateOf("b", 1, Phase::kServing), MergeResult::kNotNewer},
+    {"gone is final", StateOf("b", 1, Phase::kGone),
+     StateOf("b", 1, Phase::kServing), MergeResult::kNotNewer},
+    {"a refutation revives", StateOf("b", 1, Phase::kGone),
+     StateOf("b", 1, Phase::kServing, 1), MergeResult::kChanged},
+    {"an old refutation does not revive", StateOf("b", 1, Phase::kGone, 1),
+     StateOf("b", 1, Phase::kServing, 1), MergeResult::kNotNewer},
+    {"later incarnation", StateOf("b", 1, Phase::kGone),
+     StateOf("b", 2, Phase::kStarting), MergeResult::kChanged},
+    {"earlier incarnation", StateOf("b", 2, Phase::kStarting),
+     StateOf("b", 1, Phase::kGone, 9), MergeResult::kNotNewer},
 };
 
 struct SelfCase {
   std::string name;
   MemberState report;
-  Merge merge;
+  MergeResult merge;
   MemberState after;
 };
 std::ostream& operator<<(std::ostream& out, const SelfCase& it) {
@@ -91,82 +91,87 @@
 }
 
 const SelfCase kReportsOfSelf[] = {
-    {"called gone", StateOf("a", 5, Phase::kGone), Merge::kRefuted,
+    {"reported gone", StateOf("a", 5, Phase::kGone), MergeResult::kRefuted,
      StateOf("a", 5, Phase::kServing, 1)},
-    {"called gone again", StateOf("a", 5, Phase::kGone, 3), Merge::kRefuted,
-     StateOf("a", 5, Phase::kServing, 4)},
-    {"former life called gone", StateOf("a", 4, Phase::kGone), Merge::kOld,
-     StateOf("a", 5, Phase::kServing)},
-    {"clock was ahead", StateOf("a", 9, Phase::kGone), Merge::kRefuted,
+    {"reported gone again", StateOf("a", 5, Phase::kGone, 3),
+     MergeResult::kRefuted, StateOf("a", 5, Phase::kServing, 4)},
+    {"earlier incarnation reported gone", StateOf("a", 4, Phase::kGone),
+     MergeResult::kNotNewer, StateOf("a", 5, Phase::kServing)},
+    {"clock was ahead", StateOf("a", 9, Phase::kGone), MergeResult::kRefuted,
      StateOf("a", 10, Phase::kServing)},
-    {"young and called leaving", StateOf("a", 5, Phase::kLeaving),
-     Merge::kRefuted, StateOf("a", 5, Phase::kServing, 1)},
+    {"reported leaving soon after the start", StateOf("a", 5, Phase::kLeaving),
+     MergeResult::kRefuted, StateOf("a", 5, Phase::kServing, 1)},
 };
 
-struct ServerCase {
+struct DrainCase {
   std::string name;
-  ServerNews known;
-  ServerNews report;
+  DrainReport known;
+  DrainReport report;
   bool taken;
 };
-std::ostream& operator<<(std::ostream& out, const ServerCase& it) {
+std::ostream& operator<<(std::ostream& out, const DrainCase& it) {
   return out << it.name;
 }
 
-ServerNews NewsOf(uint64_t incarnation, bool draining, uint64_t round = 0) {
+DrainReport ReportOf(uint64_t incarnation, bool draining, uint64_t round = 0) {
   return {BackendServerId("b1"), Incarnation(incarnation), round, draining};
 }
 
-const ServerCase kServerNews[] = {
-    {"starts to drain", NewsOf(1, false), NewsOf(1, true), true},
-    {"old news", NewsOf(1, true), NewsOf(1, false), false},
-    {"a new life works", NewsOf(1, true), NewsOf(2, false), true},
-    {"news of a former life", NewsOf(2, false), NewsOf(1, true), false},
-    {"a reply does not end an operator's drain", NewsOf(0, true),
-     NewsOf(7, false), false},
-    {"an operator drains a life that replies", NewsOf(7, false),
-     NewsOf(0, true), true},
-    {"a life that is known after taking back", NewsOf(0, false, 1),
-     NewsOf(7, true, 1), true},
-    {"a sign from before taking back", NewsOf(0, false, 1), NewsOf(7, true),
+const DrainCase kDrainCases[] = {
+    {"starts to drain", ReportOf(1, false), ReportOf(1, true), true},
+    {"older report", ReportOf(1, true), ReportOf(1, false), false},
+    {"a new incarnation takes requests", ReportOf(1, true), ReportOf(2, false),
+     true},
+    {"report of an earlier incarnation", ReportOf(2, false), ReportOf(1, true),
      false},
-    {"an operator takes it back", NewsOf(0, true), NewsOf(0, false, 1), true},
-    {"and it drains again", NewsOf(0, false, 1), NewsOf(0, true, 1), true},
+    {"a reply does not end an operator's drain", ReportOf(0, true),
+     ReportOf(7, false), false},
+    {"an operator drains an incarnation that replies", ReportOf(7, false),
+     ReportOf(0, true), true},
+    {"incarnation reports a drain after a revocation", ReportOf(0, false, 1),
+     ReportOf(7, true, 1), true},
+    {"report from before a revocation", ReportOf(0, false, 1),
+     ReportOf(7, true), false},
+    {"an operator revokes the drain", ReportOf(0, true), ReportOf(0, false, 1),
+     true},
+    {"drains again after a revocation", ReportOf(0, false, 1),
+     ReportOf(0, true, 1), true},
 };
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(reports_only_go_up, data::make(kOrders), it) {
+BOOST_DATA_TEST_CASE(only_higher_reports_replace, data::make(kOrders), it) {
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   table.members[it.known.id].state = it.known;
   BOOST_TEST((MergeMember(&table, it.report, Millis(0)) == it.merge));
-  const bool taken = it.merge == Merge::kChanged;
+  const bool taken = it.merge == MergeResult::kChanged;
   BOOST_TEST((Known(table, "b") == (taken ? it.report : it.known)));
 }
 
-BOOST_DATA_TEST_CASE(reports_of_oneself_are_contradicted,
+BOOST_DATA_TEST_CASE(wrong_reports_of_self_are_refuted,
                      data::make(kReportsOfSelf), it) {
   auto table = TableOf(StateOf("a", 5, Phase::kServing));
   BOOST_TEST((MergeMember(&table, it.report, Millis(0)) == it.merge));
   BOOST_TEST((SelfOf(table).state == it.after));
 }
 
-BOOST_AUTO_TEST_CASE(an_old_life_that_is_called_leaving_leaves) {
+BOOST_AUTO_TEST_CASE(reported_leaving_is_accepted_after_list_lag) {
   auto table = TableOf(StateOf("a", 5, Phase::kServing));
   table.refute_leaving = false;
   const auto report = StateOf("a", 5, Phase::kLeaving);
-  BOOST_TEST((MergeMember(&table, report, Millis(0)) == Merge::kChanged));
+  BOOST_TEST((MergeMember(&table, report, Millis(0)) == MergeResult::kChanged));
   BOOST_TEST((SelfOf(table).state.phase == Phase::kLeaving));
 }
 
-BOOST_AUTO_TEST_CASE(an_unknown_gone_instance_is_not_taken_up) {
+BOOST_AUTO_TEST_CASE(unknown_gone_instance_is_ignored) {
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   const auto report = StateOf("b", 1, Phase::kGone);
-  BOOST_TEST((MergeMember(&table, report, Millis(0)) == Merge::kOld));
+  BOOST_TEST(
+      (MergeMember(&table, report, Millis(0)) == MergeResult::kNotNewer));
   BOOST_TEST(table.members.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(silence_is_suspected_then_taken_for_death) {
+BOOST_AUTO_TEST_CASE(silent_member_becomes_suspect_then_gone) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   MergeMember(&table, StateOf("b", 1, Phase::kServing), Millis(0));
@@ -175,7 +180,7 @@
   auto beat = StateOf("b", 1, Phase::kServing);
   beat.heartbeat = 1;
   MergeMember(&table, beat, Millis(5500));
-  BOOST_TEST(Sweep(&table, limits, Millis(6000)).trusted.size() == 1U);
+  BOOST_TEST(Sweep(&table, limits, Millis(6000)).recovered.size() == 1U);
   BOOST_TEST(Sweep(&table, limits, Millis(15501)).gone.size() == 1U);
   BOOST_TEST((Known(table, "b").phase == Phase::kGone));
   BOOST_TEST(Sweep(&table, limits, Millis(15502) + limits.forget_after)
@@ -184,7 +189,7 @@
 
 // An instance is cut off from its whole data centre. If it reported all the
 // others as gone after the usual time, each of them would have to refute it.
-BOOST_AUTO_TEST_CASE(when_most_are_silent_nobody_is_given_up_soon) {
+BOOST_AUTO_TEST_CASE(mass_silence_delays_removal) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   for (const char* id : {"b", "c", "d", "e"}) {
@@ -198,11 +203,11 @@
 
 // A process is paused for a minute, for instance by a snapshot of its virtual
 // machine. All others appear silent to it, although none of them is.
-BOOST_AUTO_TEST_CASE(a_pause_of_ones_own_is_held_against_nobody) {
+BOOST_AUTO_TEST_CASE(own_pause_does_not_count_as_silence) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   MergeMember(&table, StateOf("b", 1, Phase::kServing), Millis(0));
-  ForgivePause(&table, Millis(60000));
+  DiscountPause(&table, Millis(60000));
   const auto swept = Sweep(&table, limits, Millis(60001));
   BOOST_TEST(swept.gone.empty());
   BOOST_TEST(swept.suspected.empty());
@@ -210,7 +215,7 @@
 
 // The link to another data centre fails. Its members become suspect but stay
 // members, since nobody in this data centre can tell whether they are running.
-BOOST_AUTO_TEST_CASE(a_silent_data_centre_is_suspect_but_not_gone) {
+BOOST_AUTO_TEST_CASE(silent_data_centre_is_suspect_but_not_gone) {
   const MemberLimits limits;
   auto table = TableOf(StateOf("a", 1, Phase::kServing));
   MergeMember(&table, StateOf("x", 1, Phase::kServing, 0, "osl-2"), Millis(0));
@@ -219,19 +224,20 @@
   BOOST_TEST(Sweep(&table, limits, Millis(3600001)).forgotten.size() == 1U);
 }
 
-BOOST_DATA_TEST_CASE(old_news_of_a_server_changes_nothing,
-                     data::make(kServerNews), it) {
-  ServerNewsTable table;
-  MergeServer(&table, it.known);
-  BOOST_TEST(MergeServer(&table, it.report) == it.taken);
+BOOST_DATA_TEST_CASE(older_drain_reports_are_ignored, data::make(kDrainCases),
+                     it) {
+  DrainTable table;
+  MergeDrainReport(&table, it.known);
+  BOOST_TEST(MergeDrainReport(&table, it.report) == it.taken);
   const auto& expected = it.taken ? it.report : it.known;
   BOOST_TEST((table.at(it.known.server) == expected));
 }
 
-BOOST_AUTO_TEST_CASE(a_drain_is_taken_back_by_a_round) {
-  ServerNewsTable table;
-  MergeServer(&table, NewsOf(3, true));
-  BOOST_TEST(MergeServer(&table, UndrainOf(table, BackendServerId("b1"))));
+BOOST_AUTO_TEST_CASE(next_round_revokes_a_drain) {
+  DrainTable table;
+  MergeDrainReport(&table, ReportOf(3, true));
+  BOOST_TEST(MergeDrainReport(&table,
+                              MakeUndrainReport(table, BackendServerId("b1"))));
   BOOST_TEST(!table.at(BackendServerId("b1")).draining);
-  BOOST_TEST(!MergeServer(&table, NewsOf(3, true)));
+  BOOST_TEST(!MergeDrainReport(&table, ReportOf(3, true)));
 }
--- a/packages/membership/tests/placement_test.cc
+++ b/packages/membership/tests/placement_test.cc
@@ -64,26 +64,26 @@
 
 char DataCentreOf(const InstanceId& id) { return id.text.at(0); }
 
-struct HomeCase {
+struct OwnerCase {
   std::string name;
   std::vector<std::string> servers;
   std::string data_centres;
 };
-std::ostream& operator<<(std::ostream& out, const HomeCase& it) {
+std::ostream& operator<<(std::ostream& out, const OwnerCase& it) {
   return out << it.name;
 }
 
-const HomeCase kHomes[] = {
+const OwnerCase kOwnerCases[] = {
     {"one data centre", {"b", "b"}, "bb"},
-    {"most first", {"a", "c", "c"}, "ccaa"},
+    {"most servers first", {"a", "c", "c"}, "ccaa"},
     {"ties by name", {"c", "b"}, "bbcc"},
     {"all three", {"c", "b", "a", "b"}, "bbaacc"},
 };
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(owners_stand_where_the_servers_are, data::make(kHomes),
-                     it) {
+BOOST_DATA_TEST_CASE(owners_are_in_the_servers_data_centres,
+                     data::make(kOwnerCases), it) {
   const auto owners =
       OwnersFor(ServiceId("claims"), In(it.servers), ThreeByThree());
   std::string found;
@@ -99,11 +99,11 @@
   const auto after = PlacementOf(services, view);
   int owned = 0;
   for (const auto& [service, owners] : before) {
-    const bool was_its = owners.front() == InstanceId("a2");
-    if (was_its) ++owned;
-    BOOST_TEST((owners.front() != after.at(service).front()) == was_its);
+    const bool was_owner = owners.front() == InstanceId("a2");
+    if (was_owner) ++owned;
+    BOOST_TEST((owners.front() != after.at(service).front()) == was_owner);
     // The second candidate takes over, which all instances ask next anyway.
-    if (was_its) BOOST_TEST((after.at(service).front() == owners.at(1)));
+    if (was_owner) BOOST_TEST((after.at(service).front() == owners.at(1)));
   }
   BOOST_TEST(owned > kServices / 6);
   BOOST_TEST(owned < kServices / 2);
@@ -112,7 +112,7 @@
   for (const auto& it : changes) BOOST_TEST((it.from == InstanceId("a2")));
 }
 
-BOOST_AUTO_TEST_CASE(who_is_not_serving_owns_nothing) {
+BOOST_AUTO_TEST_CASE(only_serving_members_own_services) {
   auto view = ThreeByThree();
   view.members[InstanceId("a1")].phase = Phase::kLeaving;
   view.members[InstanceId("a2")].phase = Phase::kStarting;
@@ -121,7 +121,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_suspect_is_asked_last) {
+BOOST_AUTO_TEST_CASE(suspects_are_last) {
   auto view = ThreeByThree();
   view.members[InstanceId("a1")].suspect = true;
   for (const auto& [service, owners] : PlacementOf(ManyServices(), view)) {
@@ -131,14 +131,14 @@
 
 // A data centre loses all of its instances while its backend servers keep
 // running.
-BOOST_AUTO_TEST_CASE(without_instances_near_the_servers_any_will_do) {
+BOOST_AUTO_TEST_CASE(remote_members_own_services_without_local_ones) {
   auto view = ThreeByThree();
   for (const char* id : {"a1", "a2", "a3"}) view.members.erase(InstanceId(id));
   BOOST_TEST(OwnersFor(ServiceId("x"), In({"a"}), view).size() == 2U);
   BOOST_TEST(OwnersFor(ServiceId("x"), In({"a"}), MembershipView()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(changes_tell_new_and_removed_services) {
+BOOST_AUTO_TEST_CASE(changes_include_new_and_removed_services) {
   const InstanceId a("a1");
   const Placement before{{ServiceId("old"), {a}}};
   const Placement after{{ServiceId("new"), {a}}};
--- a/packages/operators/src/ask.cc
+++ b/packages/operators/src/ask.cc
@@ -33,16 +33,16 @@
       "expected must be the version in the write's condition, or none"};
 }
 
-Reply JudgedReply(const platform::Judgement& judged) {
+Reply JudgedReply(const platform::WriteResolution& judged) {
   switch (judged.verdict) {
-    case platform::WriteVerdict::kTaken: {
+    case platform::WriteVerdict::kApplied: {
       Reply reply = AskReply("accepted");
       reply.body["version"] = judged.version.value;
       return reply;
     }
-    case platform::WriteVerdict::kNotTaken:
+    case platform::WriteVerdict::kNotApplied:
       return AskReply("not_accepted");
-    case platform::WriteVerdict::kOpen:
+    case platform::WriteVerdict::kPending:
       return AskReply("open");
     case platform::WriteVerdict::kUnknown:
       break;
@@ -68,8 +68,8 @@
   if (!found && ErrorOf(result).code != Code::kNotFound) {
     return ErrorReply(kStatusUnavailable, Code::kPlatformUnavailable);
   }
-  return JudgedReply(platform::JudgeWrite(found ? &ValueOf(result) : nullptr,
-                                          write_id, ValueOf(expected)));
+  return JudgedReply(platform::ResolveWrite(found ? &ValueOf(result) : nullptr,
+                                            write_id, ValueOf(expected)));
 }
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/write.cc
+++ b/packages/operators/src/write.cc
@@ -60,7 +60,7 @@
 Reply Conclude(const Write& write, const Json& stored,
                const WriteState& state) {
   switch (state.outcome) {
-    case WriteOutcome::kNotTaken:
+    case WriteOutcome::kNotApplied:
       return NotAcceptedReply(write, "");
     case WriteOutcome::kUnknown:
       Log(Part::kConfig)
@@ -68,7 +68,7 @@
                 write.path);
       return UnknownReply(write, state.expected);
     case WriteOutcome::kConflict:
-      if (state.present) return ConflictReply(PresentOf(*state.present));
+      if (state.current) return ConflictReply(PresentOf(*state.current));
       return state.absent ? ConflictReply({}) : UnreadConflictReply();
     case WriteOutcome::kAccepted:
       break;
@@ -92,8 +92,8 @@
 // or doesn't have it any more, which only happens after a restore.
 bool PlatformIsOlder(const Write& write, const WriteState& state) {
   if (state.outcome != WriteOutcome::kConflict) return false;
-  if (!state.present) return state.absent;
-  return state.present->version <
+  if (!state.current) return state.absent;
+  return state.current->version <
          InForce(*write.configuration, write.path).version.value_or(Revision());
 }
 
@@ -117,7 +117,7 @@
   if (present.version && PlatformIsOlder(write, state)) {
     WriteState again;
     again.write_id = write.write_id;
-    if (state.present) again.expected = state.present->version;
+    if (state.current) again.expected = state.current->version;
     state = RunWrite(write.ports.calls, write.path, stored, again,
                      write.ports.pause);
   }
@@ -149,8 +149,8 @@
   const StoredObject object{write.path, *present.version,
                             ToJson(*present.envelope)};
   const auto judged =
-      platform::JudgeWrite(&object, write.write_id, present.version);
-  if (judged.verdict != WriteVerdict::kTaken) return std::nullopt;
+      platform::ResolveWrite(&object, write.write_id, present.version);
+  if (judged.verdict != WriteVerdict::kApplied) return std::nullopt;
   return judged.version;
 }
 
--- a/packages/platform/include/hibiscuspick/platform/accept_write.h
+++ b/packages/platform/include/hibiscuspick/platform/accept_write.h
@@ -23,17 +23,17 @@
 // What the object's present state says about a write.
 enum class WriteVerdict {
   // It took effect, with the given version.
-  kTaken,
+  kApplied,
   // It did not and never will take effect: the version that it was conditional
   // on has been replaced, and the object lists every write since.
-  kNotTaken,
+  kNotApplied,
   // It has not taken effect; a request still in the network may do so.
-  kOpen,
+  kPending,
   // The object does not list enough earlier writes to tell.
   kUnknown,
 };
 
-struct Judgement {
+struct WriteResolution {
   WriteVerdict verdict = WriteVerdict::kUnknown;
   // The write's version, if it was applied.
   Revision version;
@@ -42,8 +42,9 @@
 // Checks the write `write_id`, which was conditional on version `expected`
 // (none: on the object not existing). `current` is nullptr if there is no
 // object.
-Judgement JudgeWrite(const StoredObject* present, const std::string& write_id,
-                     std::optional<Revision> expected);
+WriteResolution ResolveWrite(const StoredObject* current,
+                             const std::string& write_id,
+                             std::optional<Revision> expected);
 
 enum class WriteStep { kPut, kRead, kFinished };
 
@@ -53,7 +54,7 @@
   // read.
   kConflict,
   // The platform rejected it or could not be reached.
-  kNotTaken,
+  kNotApplied,
   // Unknown; the caller may look the write up again by its id.
   kUnknown,
 };
@@ -70,11 +71,11 @@
   // A put got no reply: it may have taken effect or still do so.
   bool reply_lost = false;
   // Whether to wait before the step.
-  bool pause = false;
+  bool wait_first = false;
 
   WriteOutcome outcome = WriteOutcome::kUnknown;
   Revision version;
-  std::optional<StoredObject> present;
+  std::optional<StoredObject> current;
   // The object was read and does not exist.
   bool absent = false;
 };
--- a/packages/platform/include/hibiscuspick/platform/watch.h
+++ b/packages/platform/include/hibiscuspick/platform/watch.h
@@ -16,19 +16,19 @@
   // what a watch from a watermark cannot: objects that a restored platform has
   // in older versions. Each transfers the whole configuration, so they must be
   // rare.
-  Millis whole_interval{600000};
+  Millis full_list_interval{600000};
   BackoffLimits backoff;
 };
 
-enum class WatchAction { kRest, kListWhole, kWatch };
+enum class WatchAction { kWait, kListAll, kWatch };
 
 struct WatchState {
   // Whether this instance is one of its data centre's watchers.
   bool watching = false;
   // A full list was requested, also if this instance does not watch: it has no
   // configuration and no peer to get it from.
-  bool whole_wanted = false;
-  Millis next_whole;
+  bool full_list_requested = false;
+  Millis next_full_list;
   Millis not_before;
   int failures = 0;
   // All changes up to here were passed on; watches start after it.
@@ -47,7 +47,7 @@
 
 // When to call NextAction again if nothing else happens: at the latest after 1
 // s.
-Millis NextLook(const WatchState& state, Millis now);
+Millis NextCheckTime(const WatchState& state, Millis now);
 
 // Records a reply up to `complete_to` to a call made when the highest known
 // revision was `known`. A `complete_to` below `known` means that the platform
--- a/packages/platform/include/hibiscuspick/platform/watch_loop.h
+++ b/packages/platform/include/hibiscuspick/platform/watch_loop.h
@@ -18,7 +18,7 @@
 
 // One reply, also if nothing changed: it confirms the known configuration as
 // the newest. Input of settings::ApplyFromPlatform.
-struct WatchNews {
+struct WatchResult {
   settings::ConfigDelta delta;
   // The highest known revision when the call was made.
   Revision known;
@@ -30,10 +30,10 @@
 class WatchLoop {
  public:
   // Receives a reply, or the error if the platform is unreachable.
-  using Sink = std::function<void(const Result<WatchNews>&)>;
+  using Sink = std::function<void(const Result<WatchResult>&)>;
   // Returns a current revision of the ConfigStore. Called on the loop's thread
   // with its lock held: must not call back into the loop.
-  using Known = std::function<Revision()>;
+  using RevisionReader = std::function<Revision()>;
 
   // `calls` should be used by this loop only, because Stop closes them. `sink`
   // is called on the loop's thread and must not block for long. `complete_to`
@@ -42,8 +42,9 @@
   // Without `newest` the watermark is used, and a restore to a revision between
   // the watermark and a newer single write goes undetected. Starts without
   // watching.
-  WatchLoop(Calls calls, WatchOptions options, uint64_t seed, Known complete_to,
-            Sink sink, const Known& newest = nullptr);
+  WatchLoop(Calls calls, WatchOptions options, uint64_t seed,
+            RevisionReader complete_to, Sink sink,
+            const RevisionReader& newest = nullptr);
   ~WatchLoop();
   WatchLoop(const WatchLoop&) = delete;
   WatchLoop& operator=(const WatchLoop&) = delete;
@@ -51,7 +52,7 @@
   void SetWatching(bool watching);
 
   // Requests one full list as soon as the platform replies.
-  void WantWhole();
+  void RequestFullList();
 
   // Aborts a running watch and joins the thread.
   void Stop();
@@ -59,18 +60,18 @@
  private:
   void Run();
   // The action and the known revisions when the platform is called.
-  struct Question {
-    WatchAction action = WatchAction::kRest;
+  struct Request {
+    WatchAction action = WatchAction::kWait;
     Revision complete_to;
     Revision newest;
   };
-  Result<WatchNews> Ask(const Question& question);
-  void Conclude(const Question& question, const Result<WatchNews>& result);
+  Result<WatchResult> SendRequest(const Request& request);
+  void RecordOutcome(const Request& request, const Result<WatchResult>& result);
 
   const Calls calls_;
   const WatchOptions options_;
-  const Known complete_to_;
-  const Known newest_;
+  const RevisionReader complete_to_;
+  const RevisionReader newest_;
   const Sink sink_;
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/packages/platform/src/accept_write.cc
+++ b/packages/platform/src/accept_write.cc
@@ -11,7 +11,7 @@
 using settings::WriteMark;
 
 // Whether the marks include every write after `since`.
-bool RemembersSince(const std::vector<WriteMark>& marks, Revision since) {
+bool ListsWritesSince(const std::vector<WriteMark>& marks, Revision since) {
   if (marks.size() < settings::kKeptWriteIds) return true;
   return std::any_of(marks.begin(), marks.end(), [&](const WriteMark& it) {
     return it.version.value != 0 && it.version <= since;
@@ -42,7 +42,7 @@
   }
   --state->repeats_left;
   state->step = step;
-  state->pause = true;
+  state->wait_first = true;
 }
 
 void Accept(WriteState* state, Revision version) {
@@ -52,24 +52,25 @@
 
 }  // namespace
 
-Judgement JudgeWrite(const StoredObject* present, const std::string& write_id,
-                     std::optional<Revision> expected) {
-  if (!present) {
+WriteResolution ResolveWrite(const StoredObject* current,
+                             const std::string& write_id,
+                             std::optional<Revision> expected) {
+  if (!current) {
     const bool unchanged = !expected.has_value();
-    return {unchanged ? WriteVerdict::kOpen : WriteVerdict::kUnknown, {}};
+    return {unchanged ? WriteVerdict::kPending : WriteVerdict::kUnknown, {}};
   }
-  const auto marks = MarksOf(*present);
+  const auto marks = MarksOf(*current);
   if (!marks) return {WriteVerdict::kUnknown, {}};
   for (const auto& it : *marks) {
-    if (it.id == write_id) return {WriteVerdict::kTaken, it.version};
+    if (it.id == write_id) return {WriteVerdict::kApplied, it.version};
   }
-  if (expected == present->version) return {WriteVerdict::kOpen, {}};
-  const bool certain = RemembersSince(*marks, expected.value_or(Revision()));
-  return {certain ? WriteVerdict::kNotTaken : WriteVerdict::kUnknown, {}};
+  if (expected == current->version) return {WriteVerdict::kPending, {}};
+  const bool certain = ListsWritesSince(*marks, expected.value_or(Revision()));
+  return {certain ? WriteVerdict::kNotApplied : WriteVerdict::kUnknown, {}};
 }
 
 void AfterPut(WriteState* state, const Result<Revision>& result) {
-  state->pause = false;
+  state->wait_first = false;
   if (IsOk(result)) return Accept(state, ValueOf(result));
   switch (ErrorOf(result).code) {
     case Code::kPlatformConflict:
@@ -80,36 +81,36 @@
       return Repeat(state, WriteStep::kRead);
     default:
       // This put was not applied, but an earlier one without a reply may be.
-      if (!state->reply_lost) return Finish(state, WriteOutcome::kNotTaken);
+      if (!state->reply_lost) return Finish(state, WriteOutcome::kNotApplied);
       return Repeat(state, WriteStep::kRead);
   }
 }
 
 void AfterRead(WriteState* state, const Result<StoredObject>& result) {
-  state->pause = false;
+  state->wait_first = false;
   const bool found = IsOk(result);
   if (!found && ErrorOf(result).code != Code::kNotFound) {
     // A put rejected with a conflict remains one if the object cannot be read.
     if (!state->reply_lost) return Finish(state, WriteOutcome::kConflict);
     return Repeat(state, WriteStep::kRead);
   }
-  state->present.reset();
+  state->current.reset();
   state->absent = !found;
-  if (found) state->present = ValueOf(result);
-  const auto judged = JudgeWrite(found ? &ValueOf(result) : nullptr,
-                                 state->write_id, state->expected);
-  if (judged.verdict == WriteVerdict::kTaken) {
-    return Accept(state, judged.version);
+  if (found) state->current = ValueOf(result);
+  const auto resolution = ResolveWrite(found ? &ValueOf(result) : nullptr,
+                                       state->write_id, state->expected);
+  if (resolution.verdict == WriteVerdict::kApplied) {
+    return Accept(state, resolution.version);
   }
   // All puts got replies, so the conflict is certain regardless of the marks.
   if (!state->reply_lost) return Finish(state, WriteOutcome::kConflict);
-  switch (judged.verdict) {
-    case WriteVerdict::kTaken:
+  switch (resolution.verdict) {
+    case WriteVerdict::kApplied:
     case WriteVerdict::kUnknown:
       return Finish(state, WriteOutcome::kUnknown);
-    case WriteVerdict::kNotTaken:
+    case WriteVerdict::kNotApplied:
       return Finish(state, WriteOutcome::kConflict);
-    case WriteVerdict::kOpen:
+    case WriteVerdict::kPending:
       return Repeat(state, WriteStep::kPut);
   }
 }
@@ -118,7 +119,7 @@
                     const Json& stored, WriteState state,
                     const std::function<void()>& pause) {
   while (state.step != WriteStep::kFinished) {
-    if (state.pause) pause();
+    if (state.wait_first) pause();
     if (state.step == WriteStep::kPut) {
       AfterPut(&state, calls.put(kConfigKind, name, stored, state.expected));
     } else {
--- a/packages/platform/src/call_budget.cc
+++ b/packages/platform/src/call_budget.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // The budget of one Calls object with its mutex and clock.
-struct Gate {
+struct SharedBudget {
   std::mutex mutex;
   CallBudget budget;
   std::function<Millis()> clock;
@@ -24,8 +24,9 @@
 
 // Wraps a call so that it takes a token first.
 template <class R, class... Args>
-std::function<Result<R>(Args...)> Guard(
-    const std::shared_ptr<Gate>& gate, std::function<Result<R>(Args...)> call) {
+std::function<Result<R>(Args...)> LimitCall(
+    const std::shared_ptr<SharedBudget>& gate,
+    std::function<Result<R>(Args...)> call) {
   return [gate, call = std::move(call)](Args... args) -> Result<R> {
     if (gate->Take()) return call(std::forward<Args>(args)...);
     return Error{Code::kPlatformUnavailable, "",
@@ -54,22 +55,22 @@
 
 Millis BackoffAfter(int failures, BackoffLimits limits, Random* random) {
   // The bound is reached earlier; a larger exponent could only overflow.
-  constexpr int kMostDoublings = 30;
-  const int doublings = std::clamp(failures - 1, 0, kMostDoublings);
+  constexpr int kMaxDoublings = 30;
+  const int doublings = std::clamp(failures - 1, 0, kMaxDoublings);
   const Millis bound = Min(limits.most, limits.least * std::exp2(doublings));
   return bound * random->Fraction();
 }
 
 Calls LimitCalls(Calls calls, CallBudget budget,
                  std::function<Millis()> clock) {
-  auto gate = std::make_shared<Gate>();
+  auto gate = std::make_shared<SharedBudget>();
   gate->budget = budget;
   gate->clock = std::move(clock);
-  calls.get = Guard(gate, std::move(calls.get));
-  calls.list = Guard(gate, std::move(calls.list));
-  calls.watch = Guard(gate, std::move(calls.watch));
-  calls.put = Guard(gate, std::move(calls.put));
-  calls.instances = Guard(gate, std::move(calls.instances));
+  calls.get = LimitCall(gate, std::move(calls.get));
+  calls.list = LimitCall(gate, std::move(calls.list));
+  calls.watch = LimitCall(gate, std::move(calls.watch));
+  calls.put = LimitCall(gate, std::move(calls.put));
+  calls.instances = LimitCall(gate, std::move(calls.instances));
   return calls;
 }
 
--- a/packages/platform/src/http_calls.cc
+++ b/packages/platform/src/http_calls.cc
@@ -22,20 +22,20 @@
 using http::Reply;
 
 // Connection pool to the platform; each running call uses one connection.
-class Pool {
+class ConnectionPool {
  public:
-  Pool(Address address, HttpCallLimits limits)
+  ConnectionPool(Address address, HttpCallLimits limits)
       : address_(std::move(address)), limits_(limits) {}
 
   const HttpCallLimits& limits() const { return limits_; }
 
   Result<Reply> Send(httplib::Request request, Millis timeout) {
-    auto connection = Take();
+    auto connection = Acquire();
     if (!connection) {
       return Error{Code::kConnectFailed, "", "the connection pool is closed"};
     }
     auto result = connection->Send(std::move(request), timeout);
-    GiveBack(std::move(connection), IsOk(result));
+    Release(std::move(connection), IsOk(result));
     return result;
   }
 
@@ -46,7 +46,7 @@
   }
 
  private:
-  std::unique_ptr<Connection> Take() {
+  std::unique_ptr<Connection> Acquire() {
     const std::lock_guard lock(mutex_);
     if (closed_) return nullptr;
     std::unique_ptr<Connection> connection;
@@ -64,10 +64,10 @@
 
   // Closes a connection that failed, since a late reply could still arrive on
   // it.
-  void GiveBack(std::unique_ptr<Connection> connection, bool good) {
+  void Release(std::unique_ptr<Connection> connection, bool reusable) {
     const std::lock_guard lock(mutex_);
     running_.erase(connection.get());
-    if (good && !closed_ && idle_.size() < limits_.max_idle_connections) {
+    if (reusable && !closed_ && idle_.size() < limits_.max_idle_connections) {
       idle_.push_back(std::move(connection));
     }
   }
@@ -150,12 +150,12 @@
   return changes;
 }
 
-std::optional<ListedInstance> ReadInstance(const Json& line) {
-  const auto id = ReadText(line, "id");
-  const auto ip = ReadText(line, "address");
-  const auto port = ReadRevision(line, "inner_port");
-  const auto data_centre = ReadText(line, "data_centre");
-  const auto state = ReadText(line, "state");
+std::optional<ListedInstance> ReadInstance(const Json& entry) {
+  const auto id = ReadText(entry, "id");
+  const auto ip = ReadText(entry, "address");
+  const auto port = ReadRevision(entry, "inner_port");
+  const auto data_centre = ReadText(entry, "data_centre");
+  const auto state = ReadText(entry, "state");
   if (!id || !ip || !port || !data_centre || !state) return std::nullopt;
   const auto address = ParseAddress(*ip + ":" + std::to_string(port->value));
   if (!IsOk(address)) return std::nullopt;
@@ -181,7 +181,7 @@
 }
 
 // Whether a status other than 200 guarantees that a PUT was not applied.
-bool IsRefusal(int status) {
+bool IsRejection(int status) {
   return (status >= 400 && status < 500) || status == kStatusUnavailable;
 }
 
@@ -198,7 +198,7 @@
   if (reply.status == kStatusConflict) {
     return Error{Code::kPlatformConflict, "", "the object has another version"};
   }
-  if (IsRefusal(reply.status)) return UnexpectedStatus(reply);
+  if (IsRejection(reply.status)) return UnexpectedStatus(reply);
   if (reply.status != kStatusOk && reply.status != kStatusCreated) return lost;
   const auto body = ParseJson(reply.body);
   if (!IsOk(body)) return lost;
@@ -215,13 +215,13 @@
   return "?after=" + std::to_string(after.value);
 }
 
-Result<Json> Read(Pool* pool, const std::string& path, Millis extra) {
+Result<Json> Read(ConnectionPool* pool, const std::string& path, Millis extra) {
   return ReadBody(
       pool->Send(MakeRequest("GET", path), pool->limits().timeout + extra));
 }
 
-Result<Revision> Put(Pool* pool, const std::string& path, const Json& value,
-                     std::optional<Revision> expected) {
+Result<Revision> Put(ConnectionPool* pool, const std::string& path,
+                     const Json& value, std::optional<Revision> expected) {
   auto request = MakeRequest("PUT", path, DumpJson(value));
   if (expected) {
     request.set_header("If-Match", std::to_string(expected->value));
@@ -234,7 +234,7 @@
 }  // namespace
 
 Calls MakeHttpCalls(const Address& address, HttpCallLimits limits) {
-  const auto pool = std::make_shared<Pool>(address, limits);
+  const auto pool = std::make_shared<ConnectionPool>(address, limits);
   Calls calls;
   calls.get = [pool](const std::string& kind,
                      const std::string& name) -> Result<StoredObject> {
--- a/packages/platform/src/watch.cc
+++ b/packages/platform/src/watch.cc
@@ -5,10 +5,10 @@
 namespace hibiscuspick::platform {
 namespace {
 
-constexpr Millis kLongestRest{1000};
+constexpr Millis kMaxWait{1000};
 
 // Returns a random time between 0.75 and 1.25 intervals.
-Millis AboutOne(Millis interval, Random* random) {
+Millis RandomiseInterval(Millis interval, Random* random) {
   constexpr double kLeast = 0.75;
   constexpr double kSpan = 0.5;
   return interval * (kLeast + kSpan * random->Fraction());
@@ -20,20 +20,21 @@
                  Millis now, Random* random) {
   if (state->watching == watching) return;
   state->watching = watching;
-  state->next_whole = now + options.whole_interval * random->Fraction();
+  state->next_full_list = now + options.full_list_interval * random->Fraction();
 }
 
 WatchAction NextAction(const WatchState& state, Millis now) {
-  if (now < state.not_before) return WatchAction::kRest;
-  if (state.whole_wanted) return WatchAction::kListWhole;
-  if (!state.watching) return WatchAction::kRest;
-  const bool knows_nothing = state.seen.value == 0 && !state.answered;
-  if (knows_nothing) return WatchAction::kListWhole;
-  return now < state.next_whole ? WatchAction::kWatch : WatchAction::kListWhole;
+  if (now < state.not_before) return WatchAction::kWait;
+  if (state.full_list_requested) return WatchAction::kListAll;
+  if (!state.watching) return WatchAction::kWait;
+  const bool has_no_config = state.seen.value == 0 && !state.answered;
+  if (has_no_config) return WatchAction::kListAll;
+  return now < state.next_full_list ? WatchAction::kWatch
+                                    : WatchAction::kListAll;
 }
 
-Millis NextLook(const WatchState& state, Millis now) {
-  const Millis latest = now + kLongestRest;
+Millis NextCheckTime(const WatchState& state, Millis now) {
+  const Millis latest = now + kMaxWait;
   return now < state.not_before ? Min(latest, state.not_before) : latest;
 }
 
@@ -44,9 +45,10 @@
   // watermark and a newer single object.
   if (complete_to >= known) state->seen = std::max(state->seen, complete_to);
   state->answered = true;
-  if (asked == WatchAction::kListWhole) {
-    state->whole_wanted = false;
-    state->next_whole = now + AboutOne(options.whole_interval, random);
+  if (asked == WatchAction::kListAll) {
+    state->full_list_requested = false;
+    state->next_full_list =
+        now + RandomiseInterval(options.full_list_interval, random);
   }
   if (complete_to < known) {
     AfterFailure(state, options, now, random);
--- a/packages/platform/src/watch_loop.cc
+++ b/packages/platform/src/watch_loop.cc
@@ -14,7 +14,8 @@
 }
 
 WatchLoop::WatchLoop(Calls calls, WatchOptions options, uint64_t seed,
-                     Known complete_to, Sink sink, const Known& newest)
+                     RevisionReader complete_to, Sink sink,
+                     const RevisionReader& newest)
     : calls_(std::move(calls)),
       options_(options),
       complete_to_(std::move(complete_to)),
@@ -32,9 +33,9 @@
   wake_.notify_all();
 }
 
-void WatchLoop::WantWhole() {
+void WatchLoop::RequestFullList() {
   const std::lock_guard lock(mutex_);
-  state_.whole_wanted = true;
+  state_.full_list_requested = true;
   wake_.notify_all();
 }
 
@@ -55,16 +56,16 @@
     // `seen` may be ahead while the control thread applies the last reply.
     state_.seen = std::max(state_.seen, complete_to_());
     const WatchAction action = NextAction(state_, now);
-    if (action == WatchAction::kRest) {
-      wake_.wait_for(lock, (NextLook(state_, now) - now).ToMicros());
+    if (action == WatchAction::kWait) {
+      wake_.wait_for(lock, (NextCheckTime(state_, now) - now).ToMicros());
       continue;
     }
-    const Question question{action, state_.seen,
-                            std::max(state_.seen, newest_())};
+    const Request request{action, state_.seen,
+                          std::max(state_.seen, newest_())};
     lock.unlock();
-    const auto result = Ask(question);
+    const auto result = SendRequest(request);
     lock.lock();
-    Conclude(question, result);
+    RecordOutcome(request, result);
     if (stopping_) return;
     lock.unlock();
     sink_(result);
@@ -72,20 +73,21 @@
   }
 }
 
-Result<WatchNews> WatchLoop::Ask(const Question& question) {
-  const bool whole = question.action == WatchAction::kListWhole;
-  const Revision after = whole ? Revision() : question.complete_to;
-  const auto changes = whole ? calls_.list(kConfigKind, after)
-                             : calls_.watch(kConfigKind, after, options_.wait);
+Result<WatchResult> WatchLoop::SendRequest(const Request& request) {
+  const bool list_all = request.action == WatchAction::kListAll;
+  const Revision after = list_all ? Revision() : request.complete_to;
+  const auto changes = list_all
+                           ? calls_.list(kConfigKind, after)
+                           : calls_.watch(kConfigKind, after, options_.wait);
   if (!IsOk(changes)) return ErrorOf(changes);
-  return WatchNews{ToDelta(after, ValueOf(changes)), question.newest};
+  return WatchResult{ToDelta(after, ValueOf(changes)), request.newest};
 }
 
-void WatchLoop::Conclude(const Question& question,
-                         const Result<WatchNews>& result) {
+void WatchLoop::RecordOutcome(const Request& request,
+                              const Result<WatchResult>& result) {
   const Millis now = SteadyNow();
   if (IsOk(result)) {
-    AfterAnswer(&state_, question.action, question.newest,
+    AfterAnswer(&state_, request.action, request.newest,
                 ValueOf(result).delta.complete_to, options_, now, &random_);
   } else {
     AfterFailure(&state_, options_, now, &random_);
--- a/packages/platform/tests/accept_write_test.cc
+++ b/packages/platform/tests/accept_write_test.cc
@@ -23,7 +23,8 @@
 
 constexpr char kName[] = "settings/system";
 
-std::optional<hp::settings::Envelope> PresentOf(const FakePlatform& platform) {
+std::optional<hp::settings::Envelope> CurrentEnvelope(
+    const FakePlatform& platform) {
   const auto it = platform.objects.find(kName);
   if (it == platform.objects.end()) return std::nullopt;
   return ValueOf(hp::settings::ReadEnvelope(it->second.value));
@@ -37,7 +38,7 @@
 
 Json NextOf(const FakePlatform& platform, const std::string& write_id) {
   const Revision version = VersionOf(platform).value_or(Revision());
-  return ToJson(NextEnvelope(PresentOf(platform), version, Json::object(),
+  return ToJson(NextEnvelope(CurrentEnvelope(platform), version, Json::object(),
                              write_id, false));
 }
 
@@ -58,9 +59,9 @@
 }
 
 bool HasOurs(const FakePlatform& platform) {
-  const auto present = PresentOf(platform);
-  if (!present) return false;
-  const auto& writes = present->writes;
+  const auto current = CurrentEnvelope(platform);
+  if (!current) return false;
+  const auto& writes = current->writes;
   return std::any_of(writes.begin(), writes.end(),
                      [](const auto& it) { return it.id == "ours"; });
 }
@@ -84,7 +85,7 @@
 const Case kCases[] = {
     {"a first write", 0, 0, {}, 0, kAccepted, 1},
     {"a later write", 3, 0, {}, 0, kAccepted, 4},
-    {"the platform is down", 1, 0, {kDown}, 0, kNotTaken, 0},
+    {"the platform is down", 1, 0, {kDown}, 0, kNotApplied, 0},
     {"its reply is lost", 1, 0, {kReplyLost}, 0, kAccepted, 2},
     {"the reply to a first write is lost", 0, 0, {kReplyLost}, 0, kAccepted, 1},
     {"its reply is lost and seven others follow",
@@ -101,57 +102,63 @@
      0,
      kUnknown,
      0},
-    {"it is lost itself and sent again", 1, 0, {kRequestLost}, 0, kAccepted, 2},
-    {"it is lost itself and another follows",
+    {"its request is lost and sent again",
+     1,
+     0,
+     {kRequestLost},
+     0,
+     kAccepted,
+     2},
+    {"its request is lost and another write follows",
      1,
      1,
      {kRequestLost},
      0,
      kConflict,
      0},
-    {"it is lost itself and seven others follow a long past",
+    {"its request is lost and seven others follow a long history",
      20,
      7,
      {kRequestLost},
      0,
      kConflict,
      0},
-    {"it is lost itself and eight others follow",
+    {"its request is lost and eight others follow",
      20,
      8,
      {kRequestLost},
      0,
      kUnknown,
      0},
-    {"lost reply, then reads fail a while",
+    {"its reply is lost and reads fail for a while",
      1,
      0,
      {kReplyLost},
      2,
      kAccepted,
      2},
-    {"lost reply, then the platform stays down",
+    {"its reply is lost and the platform stays down",
      1,
      0,
      {kReplyLost},
      -1,
      kUnknown,
      0},
-    {"lost again and again",
+    {"its request is lost repeatedly",
      1,
      0,
      {kRequestLost, kRequestLost, kRequestLost, kRequestLost, kRequestLost},
      0,
      kUnknown,
      0},
-    {"lost, then down",
+    {"its request is lost, then the platform is down",
      1,
      0,
      {kRequestLost, kDown, kDown, kDown, kDown},
      0,
      kUnknown,
      0},
-    {"lost reply, sent again meets its own effect",
+    {"its request is lost, then the reply to the repeat",
      1,
      0,
      {kRequestLost, kReplyLost},
@@ -166,7 +173,7 @@
 // write before the object is read back. The write may be reported as accepted
 // only if it took effect, as not accepted only if it never will, and otherwise
 // as unknown.
-BOOST_DATA_TEST_CASE(a_write_is_answered_truly, data::make(kCases), it) {
+BOOST_DATA_TEST_CASE(write_outcome_is_correct, data::make(kCases), it) {
   FakePlatform platform;
   for (int i = 0; i < it.writes_before; ++i) {
     WriteOther(&platform, "before " + std::to_string(i));
@@ -188,21 +195,21 @@
 
 // Two operators write simultaneously. Exactly one write is accepted, and the
 // other operator gets the winner's value.
-BOOST_AUTO_TEST_CASE(of_two_racing_writes_one_is_accepted) {
+BOOST_AUTO_TEST_CASE(one_of_two_racing_writes_is_accepted) {
   FakePlatform platform;
   WriteOther(&platform, "before");
   platform.before_put = [&] { WriteOther(&platform, "theirs"); };
   const auto state = WriteOurs(&platform);
   BOOST_TEST((state.outcome == kConflict));
-  BOOST_REQUIRE(state.present.has_value());
-  BOOST_TEST(state.present->version.value == 2);
+  BOOST_REQUIRE(state.current.has_value());
+  BOOST_TEST(state.current->version.value == 2);
   BOOST_TEST(!HasOurs(platform));
 }
 
 // A put is delayed in the network and takes effect long after its sender gave
 // up. If the sender reported "not accepted" because the object was unchanged,
 // the write would come into force afterwards.
-BOOST_AUTO_TEST_CASE(a_put_that_arrives_late_is_never_called_not_accepted) {
+BOOST_AUTO_TEST_CASE(delayed_put_is_not_reported_as_rejected) {
   FakePlatform platform;
   WriteOther(&platform, "before");
   platform.put_faults = {kDelayed, kDown, kDown, kDown, kDown};
@@ -210,14 +217,14 @@
   BOOST_TEST((state.outcome == kUnknown));
   BOOST_TEST(!HasOurs(platform));
   platform.DeliverLate();
-  const auto judged =
-      hpp::JudgeWrite(&platform.objects[kName], "ours", Revision(1));
-  BOOST_TEST((judged.verdict == hpp::WriteVerdict::kTaken));
+  const auto resolution =
+      hpp::ResolveWrite(&platform.objects[kName], "ours", Revision(1));
+  BOOST_TEST((resolution.verdict == hpp::WriteVerdict::kApplied));
 }
 
 // As above, but the put is sent again: the first of the two to take effect
 // replaces the version that the other is conditional on.
-BOOST_AUTO_TEST_CASE(a_put_sent_again_takes_effect_once) {
+BOOST_AUTO_TEST_CASE(repeated_put_is_applied_once) {
   FakePlatform platform;
   WriteOther(&platform, "before");
   platform.put_faults = {kDelayed};
@@ -228,8 +235,8 @@
   BOOST_TEST(platform.puts == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_value_written_by_other_means_proves_nothing) {
+BOOST_AUTO_TEST_CASE(value_without_envelope_leaves_outcome_unknown) {
   const hpp::StoredObject foreign{kName, Revision(5), Json("by hand")};
-  const auto judged = hpp::JudgeWrite(&foreign, "ours", Revision(4));
-  BOOST_TEST((judged.verdict == hpp::WriteVerdict::kUnknown));
+  const auto resolution = hpp::ResolveWrite(&foreign, "ours", Revision(4));
+  BOOST_TEST((resolution.verdict == hpp::WriteVerdict::kUnknown));
 }
--- a/packages/platform/tests/call_budget_test.cc
+++ b/packages/platform/tests/call_budget_test.cc
@@ -10,7 +10,7 @@
 
 // Guards against an instance that retries in a loop and uses up the platform's
 // capacity.
-BOOST_AUTO_TEST_CASE(the_budget_bounds_calls_over_time) {
+BOOST_AUTO_TEST_CASE(budget_limits_call_rate) {
   auto budget = hpp::MakeCallBudget(10, 5, Millis(0));
   int taken = 0;
   for (int ms = 0; ms < 10000; ++ms) {
@@ -21,7 +21,7 @@
   BOOST_TEST(!TakeCall(&budget, Millis(0)));
 }
 
-BOOST_AUTO_TEST_CASE(calls_over_the_budget_are_not_made) {
+BOOST_AUTO_TEST_CASE(calls_over_budget_are_rejected) {
   hpp::FakePlatform platform;
   const auto calls =
       LimitCalls(platform.MakeCalls(), hpp::MakeCallBudget(1, 2, Millis(0)),
@@ -37,14 +37,14 @@
 
 // Guards against equal backoffs: all instances lose the platform at the same
 // moment and would also retry at the same moment.
-BOOST_AUTO_TEST_CASE(rests_grow_to_a_bound_and_differ) {
+BOOST_AUTO_TEST_CASE(backoff_is_bounded_and_random) {
   hp::Random random(7);
   const hpp::BackoffLimits limits{Millis(100), Millis(1000)};
   for (int failures = 1; failures < 100; ++failures) {
-    const Millis rest = BackoffAfter(failures, limits, &random);
+    const Millis backoff = BackoffAfter(failures, limits, &random);
     const Millis other = BackoffAfter(failures, limits, &random);
-    BOOST_TEST(rest.count >= 0);
-    BOOST_TEST(rest.count <= (failures == 1 ? 100 : 1000));
-    BOOST_TEST(rest.count != other.count);
+    BOOST_TEST(backoff.count >= 0);
+    BOOST_TEST(backoff.count <= (failures == 1 ? 100 : 1000));
+    BOOST_TEST(backoff.count != other.count);
   }
 }
--- a/packages/platform/tests/http_calls_test.cc
+++ b/packages/platform/tests/http_calls_test.cc
@@ -18,7 +18,7 @@
 namespace {
 
 // Answers every request with one status and body, and records the last request.
-struct OneAnswer {
+struct FixedReplyServer {
   int status = 200;
   std::string body;
   std::atomic<int> requests{0};
@@ -27,7 +27,7 @@
   std::string if_none_match;
   hp::http::Server server{{}};
 
-  OneAnswer(int answer_status, std::string answer_body)
+  FixedReplyServer(int answer_status, std::string answer_body)
       : status(answer_status), body(std::move(answer_body)) {
     const auto handler = [this](const httplib::Request& request,
                                 httplib::Response& response) {
@@ -58,7 +58,7 @@
 }
 
 const PutCase kPuts[] = {
-    {"taken", 200, R"({"version": 7})", Code::kOk},
+    {"applied", 200, R"({"version": 7})", Code::kOk},
     {"created", 201, R"({"version": 7})", Code::kOk},
     {"conflict", 412, R"({"version": 9, "value": 1})", Code::kPlatformConflict},
     {"down", 503, "", Code::kPlatformUnavailable},
@@ -83,9 +83,9 @@
 const ReadCase kLists[] = {
     {"empty", 200, R"({"complete_to": 4, "objects": []})", Code::kOk},
     {"down", 503, "", Code::kPlatformUnavailable},
-    {"cut short", 200, R"({"complete_to": 4, "obj)",
+    {"truncated", 200, R"({"complete_to": 4, "obj)",
      Code::kPlatformUnavailable},
-    {"one object that can't be read", 200,
+    {"one malformed object", 200,
      R"({"complete_to": 4, "objects": [{"name": "a"}]})",
      Code::kPlatformUnavailable},
     {"no revision", 200, R"({"objects": []})", Code::kPlatformUnavailable},
@@ -101,9 +101,9 @@
 
 // Only an unambiguous reply may be interpreted as applied or not applied; all
 // others must be resolved by reading the object back.
-BOOST_DATA_TEST_CASE(put_replies_are_read_on_the_safe_side, data::make(kPuts),
+BOOST_DATA_TEST_CASE(ambiguous_put_replies_count_as_lost, data::make(kPuts),
                      it) {
-  OneAnswer platform(it.status, it.body);
+  FixedReplyServer platform(it.status, it.body);
   const auto result = platform.MakeCalls().put("config", "services/x",
                                                Json::object(), Revision(3));
   BOOST_TEST((CodeOf(result) == it.code));
@@ -112,8 +112,8 @@
   BOOST_TEST(platform.if_match == "3");
 }
 
-BOOST_DATA_TEST_CASE(a_listing_is_read_whole_or_not, data::make(kLists), it) {
-  OneAnswer platform(it.status, it.body);
+BOOST_DATA_TEST_CASE(malformed_lists_are_rejected, data::make(kLists), it) {
+  FixedReplyServer platform(it.status, it.body);
   const auto calls = platform.MakeCalls();
   BOOST_TEST((CodeOf(calls.list("config", Revision(3))) == it.code));
   BOOST_TEST(platform.path == "/objects/config?after=3");
@@ -122,8 +122,8 @@
   BOOST_TEST(platform.path == "/watch/config?after=3&wait_ms=50");
 }
 
-BOOST_AUTO_TEST_CASE(objects_keep_their_folders_in_the_path) {
-  OneAnswer platform(200, R"({"version": 2, "value": {"a": 1}})");
+BOOST_AUTO_TEST_CASE(object_names_keep_their_slashes) {
+  FixedReplyServer platform(200, R"({"version": 2, "value": {"a": 1}})");
   const auto calls = platform.MakeCalls();
   const auto result = calls.get("config", "settings/customer/c");
   BOOST_REQUIRE(IsOk(result));
@@ -133,8 +133,8 @@
   BOOST_TEST(platform.if_none_match == "*");
 }
 
-BOOST_AUTO_TEST_CASE(listed_instances_that_cannot_be_read_are_passed_over) {
-  OneAnswer platform(200, R"([
+BOOST_AUTO_TEST_CASE(malformed_listed_instances_are_skipped) {
+  FixedReplyServer platform(200, R"([
       {"id": "a", "address": "127.0.0.1", "inner_port": 8201,
        "data_centre": "osl-1", "state": "leaving"},
       {"id": "b", "address": "somewhere", "inner_port": 8201,
@@ -150,10 +150,10 @@
 
 // Nothing listens at the platform's address. Nothing was sent, so the write was
 // certainly not applied.
-BOOST_AUTO_TEST_CASE(a_failed_connect_is_not_taken) {
+BOOST_AUTO_TEST_CASE(failed_connect_is_not_applied) {
   uint16_t port = 0;
   {
-    OneAnswer gone(200, "{}");
+    FixedReplyServer gone(200, "{}");
     port = gone.server.port();
   }
   const auto calls = hpp::MakeHttpCalls({"127.0.0.1", port});
@@ -163,7 +163,7 @@
 
 // The platform applies a write and closes the connection before it replies. If
 // the client sent the request again by itself, it could be applied twice.
-BOOST_AUTO_TEST_CASE(a_put_is_never_sent_twice) {
+BOOST_AUTO_TEST_CASE(put_is_never_sent_twice) {
   hp::http::Server server({});
   std::atomic<int> requests{0};
   server.Put(".*", [&](const auto&, auto& response) {
@@ -181,7 +181,7 @@
 
 // An instance shuts down during a watch and must not wait for the end of the
 // watch.
-BOOST_AUTO_TEST_CASE(closing_ends_a_waiting_watch) {
+BOOST_AUTO_TEST_CASE(close_aborts_a_running_watch) {
   hp::http::Server server({});
   std::atomic<bool> entered{false};
   server.Get(".*", [&](const auto&, auto&) {
--- a/packages/platform/tests/standin_calls_test.cc
+++ b/packages/platform/tests/standin_calls_test.cc
@@ -20,11 +20,11 @@
 
 constexpr char kName[] = "settings/customer/c";
 
-struct Bench {
+struct Fixture {
   hp::standins::PlatformStandin platform;
   hpp::Calls calls;
 
-  Bench() {
+  Fixture() {
     BOOST_REQUIRE(IsOk(platform.Start("127.0.0.1", 0)));
     hpp::HttpCallLimits limits;
     limits.timeout = hp::Millis(300);
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(what_is_written_is_listed_watched_and_read) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(written_objects_are_listed_watched_and_read) {
+  Fixture bench;
   BOOST_TEST((CodeOf(bench.calls.get("config", kName)) == Code::kNotFound));
   const auto empty = bench.calls.list("config", Revision());
   BOOST_REQUIRE(IsOk(empty));
@@ -72,8 +72,8 @@
 
 // The platform applies the write and drops the connection. The write must still
 // be reported as accepted, with its version.
-BOOST_AUTO_TEST_CASE(a_lost_reply_is_settled_over_the_network) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(lost_reply_is_resolved_by_reading_back) {
+  Fixture bench;
   hp::standins::PlatformFaults faults;
   faults.lose_put_replies = 1;
   bench.platform.SetFaults(faults);
@@ -85,13 +85,13 @@
 
 // If the platform rejects calls, the write was not applied; if it does not
 // answer, the outcome is unknown until it does.
-BOOST_AUTO_TEST_CASE(outages_are_told_apart) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(refusing_and_silent_outages_differ) {
+  Fixture bench;
   hp::standins::PlatformFaults faults;
   faults.outage = hp::standins::Outage::kRefused;
   bench.platform.SetFaults(faults);
   BOOST_TEST((bench.Write("w1", std::nullopt).outcome ==
-              hpp::WriteOutcome::kNotTaken));
+              hpp::WriteOutcome::kNotApplied));
   BOOST_TEST((CodeOf(bench.calls.list("config", Revision())) ==
               Code::kPlatformUnavailable));
   faults.outage = hp::standins::Outage::kSilent;
@@ -102,8 +102,8 @@
   BOOST_TEST((CodeOf(bench.calls.get("config", kName)) == Code::kNotFound));
 }
 
-BOOST_AUTO_TEST_CASE(a_restore_is_seen_as_one) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(restore_is_detected) {
+  Fixture bench;
   const auto first = bench.Write("w1", std::nullopt);
   const auto backup = bench.platform.Backup();
   const auto second = bench.Write("w2", first.version);
@@ -120,8 +120,8 @@
   BOOST_TEST((store.objects[kName].version == second.version));
 }
 
-BOOST_AUTO_TEST_CASE(the_list_of_instances_is_read) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(instance_list_is_decoded) {
+  Fixture bench;
   bench.platform.SetInstanceList(Json::array({{{"id", "a"},
                                                {"address", "127.0.0.1"},
                                                {"inner_port", 8201},
--- a/packages/platform/tests/watch_test.cc
+++ b/packages/platform/tests/watch_test.cc
@@ -21,27 +21,27 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(only_watching_instances_ask) {
+BOOST_AUTO_TEST_CASE(only_watchers_call_the_platform) {
   hp::Random random(1);
   hpp::WatchState state;
-  BOOST_TEST((NextAction(state, Millis(0)) == WatchAction::kRest));
+  BOOST_TEST((NextAction(state, Millis(0)) == WatchAction::kWait));
   SetWatching(&state, true, kOptions, Millis(0), &random);
-  BOOST_TEST((NextAction(state, Millis(1)) == WatchAction::kListWhole));
-  AfterAnswer(&state, WatchAction::kListWhole, {}, {}, kOptions, Millis(1),
+  BOOST_TEST((NextAction(state, Millis(1)) == WatchAction::kListAll));
+  AfterAnswer(&state, WatchAction::kListAll, {}, {}, kOptions, Millis(1),
               &random);
   BOOST_TEST((NextAction(state, Millis(1)) == WatchAction::kWatch));
-  BOOST_TEST((NextAction(state, kOptions.whole_interval * 2) ==
-              WatchAction::kListWhole));
+  BOOST_TEST((NextAction(state, kOptions.full_list_interval * 2) ==
+              WatchAction::kListAll));
   SetWatching(&state, false, kOptions, Millis(2), &random);
-  BOOST_TEST((NextAction(state, Millis(3)) == WatchAction::kRest));
-  state.whole_wanted = true;
-  BOOST_TEST((NextAction(state, Millis(3)) == WatchAction::kListWhole));
+  BOOST_TEST((NextAction(state, Millis(3)) == WatchAction::kWait));
+  state.full_list_requested = true;
+  BOOST_TEST((NextAction(state, Millis(3)) == WatchAction::kListAll));
 }
 
 // A platform restored from a backup answers each watch at once, since its
 // revision is below the requested one. Without a backoff the watching instances
 // would call it in a tight loop.
-BOOST_AUTO_TEST_CASE(an_answer_from_the_past_is_rested_on) {
+BOOST_AUTO_TEST_CASE(reply_from_a_restored_platform_causes_backoff) {
   hp::Random random(1);
   hpp::WatchState state;
   SetWatching(&state, true, kOptions, Millis(0), &random);
@@ -50,7 +50,7 @@
                 Millis(1), &random);
   }
   BOOST_TEST(state.not_before.count > 1);
-  BOOST_TEST((NextAction(state, Millis(1)) == WatchAction::kRest));
+  BOOST_TEST((NextAction(state, Millis(1)) == WatchAction::kWait));
   BOOST_TEST(state.seen.value == 0);
   AfterAnswer(&state, WatchAction::kWatch, Revision(9), Revision(9), kOptions,
               Millis(10000), &random);
@@ -59,7 +59,7 @@
 
 // The platform fails for a while during a watch. The loop must continue by
 // itself, report the failures, and miss no change written in between.
-BOOST_AUTO_TEST_CASE(the_loop_outlives_an_outage_and_misses_nothing) {
+BOOST_AUTO_TEST_CASE(loop_survives_an_outage_without_missing_changes) {
   hpp::FakePlatform platform;
   platform.Store("routes/a", 1, std::nullopt);
   platform.failing_reads = 3;
@@ -75,11 +75,11 @@
         const std::lock_guard lock(mutex);
         return store.complete_to;
       },
-      [&](const hp::Result<hpp::WatchNews>& result) {
+      [&](const hp::Result<hpp::WatchResult>& result) {
         const std::lock_guard lock(mutex);
         if (IsOk(result)) {
-          const auto& news = ValueOf(result);
-          ApplyFromPlatform(&store, news.delta, news.known);
+          const auto& update = ValueOf(result);
+          ApplyFromPlatform(&store, update.delta, update.known);
         } else {
           ++failures;
         }
@@ -90,7 +90,7 @@
     return wake.wait_for(lock, std::chrono::seconds(60),
                          [&] { return store.complete_to.value >= revision; });
   };
-  loop.WantWhole();
+  loop.RequestFullList();
   BOOST_REQUIRE(wait_for(1));
   loop.SetWatching(true);
   platform.Store("routes/b", 2, std::nullopt);
--- a/packages/scenario/src/world_groups.cc
+++ b/packages/scenario/src/world_groups.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "hibiscuspick/base/hash.h"
-#include "hibiscuspick/membership/reply_news.h"
+#include "hibiscuspick/membership/reply_drain.h"
 #include "hibiscuspick/scenario/world.h"
 
 namespace hibiscuspick::scenario {
@@ -184,12 +184,12 @@
                           const ServerReply& reply) {
   // A reply that never came names no life.
   if (reply.incarnation == Incarnation()) return;
-  const auto news = membership::NewsOfReply(node->members->servers, server,
-                                            reply.incarnation, reply.draining);
+  const auto news = membership::DrainReportOfReply(
+      node->members->servers, server, reply.incarnation, reply.draining);
   if (!news) return;
   Note(fmt::format("{} hears that {} {}", node->id.text, server.text,
                    reply.draining ? "drains" : "takes work"));
-  StepControl(node, membership::LocalNews{*news});
+  StepControl(node, membership::LocalDrain{*news});
 }
 
 void World::CancelAttempt(Node* node, const ServiceId& service,
