--- a/packages/daemon/include/hibiscuspick/daemon/control_thread.h
+++ b/packages/daemon/include/hibiscuspick/daemon/control_thread.h
@@ -23,7 +23,7 @@
 struct ControlPorts {
   std::function<void(const membership::Peer&, membership::GossipMessage)> send;
   std::function<void(const TrafficView&)> on_view;
-  std::function<void(const membership::DrainReport&)> on_server_news;
+  std::function<void(const membership::DrainReport&)> on_drain_report;
   std::function<void(Incarnation)> adopt_incarnation;
   std::function<void(bool watching)> set_watching;
 };
@@ -84,9 +84,9 @@
   Random random_;
   Published<TrafficView> view_;
   membership::ViewPointer members_;
-  membership::DrainTable passed_on_;
+  membership::DrainTable reported_drains_;
   std::shared_ptr<const settings::Configuration> configuration_;
-  bool rebuild_wanted_ = false;
+  bool needs_rebuild_ = false;
   std::atomic<uint64_t> complete_to_{0};
   std::atomic<uint64_t> newest_{0};
   // Negative if never.
--- a/packages/daemon/include/hibiscuspick/daemon/daemon.h
+++ b/packages/daemon/include/hibiscuspick/daemon/daemon.h
@@ -25,7 +25,7 @@
   // flight completes; then everything is stopped. Returns when it is done.
   // `now` is polled: once it is true, or after stop_timeout, work in flight is
   // aborted, which the log reports.
-  void Stop(const std::atomic<bool>& now);
+  void Stop(const std::atomic<bool>& abort_now);
 
  private:
   class Impl;
--- a/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
+++ b/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
@@ -20,9 +20,9 @@
 
   static constexpr Millis kInterval{2000};
 
-  // `wanted` returns whether to request the list now. Both functions are called
-  // on the lister's thread.
-  InstanceLister(platform::Calls calls, std::function<bool()> wanted,
+  // `should_list` returns whether to request the list now. Both functions are
+  // called on the lister's thread.
+  InstanceLister(platform::Calls calls, std::function<bool()> should_list,
                  Sink sink);
   ~InstanceLister();
   InstanceLister(const InstanceLister&) = delete;
@@ -34,7 +34,7 @@
   void Run();
 
   const platform::Calls calls_;
-  const std::function<bool()> wanted_;
+  const std::function<bool()> should_list_;
   const Sink sink_;
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/packages/daemon/include/hibiscuspick/daemon/part_service.h
+++ b/packages/daemon/include/hibiscuspick/daemon/part_service.h
@@ -25,7 +25,7 @@
   using Send = std::function<void(const InstanceId& to, inner::Message)>;
 
   // Well below the smallest useful owner_timeout_ms.
-  static constexpr Millis kNoticeInterval{10};
+  static constexpr Millis kHeartbeatInterval{10};
 
   PartService(dispatch::PartExecutor* executor, Send send);
   ~PartService();
@@ -46,10 +46,10 @@
     Millis last_sent;
   };
 
-  void TakeOutcomes(const limits::PartOrigin& origin,
-                    std::vector<limits::ShardOutcome> outcomes);
-  void Notice();
-  std::vector<limits::PartOrigin> DueNotices();
+  void HandleOutcomes(const limits::PartOrigin& origin,
+                      std::vector<limits::ShardOutcome> outcomes);
+  void RunHeartbeats();
+  std::vector<limits::PartOrigin> DueHeartbeats();
 
   dispatch::PartExecutor* const executor_;
   const Send send_;
--- a/packages/daemon/include/hibiscuspick/daemon/status.h
+++ b/packages/daemon/include/hibiscuspick/daemon/status.h
@@ -15,7 +15,7 @@
 
 namespace hibiscuspick::daemon {
 
-struct StatusFacts {
+struct StatusData {
   std::shared_ptr<const TrafficView> view;
   Incarnation incarnation;
   bool watching = false;
@@ -28,7 +28,7 @@
 
 // Members, backend servers with their state and owner, versions in force,
 // warnings.
-Json StatusJson(const StatusFacts& facts);
+Json StatusJson(const StatusData& data);
 
 // The executor's counters as Prometheus text, one series for each service.
 std::string GroupMetricsText(const dispatch::ExecutorMetrics& metrics);
--- a/packages/daemon/main.cc
+++ b/packages/daemon/main.cc
@@ -44,11 +44,11 @@
 
 // The settings, or nullopt after printing all faults.
 template <class T>
-std::optional<T> GoodOrPrint(
+std::optional<T> ValidOrPrint(
     const std::string& path,
     const hibiscuspick::settings::Checked<T>& checked) {
-  if (hibiscuspick::settings::IsGood(checked)) {
-    return hibiscuspick::settings::GoodOf(checked);
+  if (hibiscuspick::settings::IsValid(checked)) {
+    return hibiscuspick::settings::ValidValue(checked);
   }
   for (const auto& it : hibiscuspick::settings::FaultsOf(checked)) {
     std::cerr << path << ": " << it.place << ": " << it.message << "\n";
@@ -75,12 +75,12 @@
                           settings.instance.text);
   hibiscuspick::daemon::Daemon daemon(settings);
   const auto started = daemon.Start();
-  std::atomic<bool> now{false};
+  std::atomic<bool> abort_now{false};
   if (!IsOk(started)) {
     std::cerr << ErrorOf(started).place << ": " << ErrorOf(started).message
               << "\n";
-    now = true;
-    daemon.Stop(now);
+    abort_now = true;
+    daemon.Stop(abort_now);
     hibiscuspick::StopLogs();
     return kExitCannotStart;
   }
@@ -88,7 +88,7 @@
   sigwait(&signals, &signal);
   std::atomic<bool> stopped{false};
   std::thread stopper([&] {
-    daemon.Stop(now);
+    daemon.Stop(abort_now);
     stopped = true;
     // Wakes the wait below if no second signal has arrived.
     kill(getpid(), SIGTERM);
@@ -96,30 +96,30 @@
   sigwait(&signals, &signal);
   if (!stopped) {
     Log(Part::kDaemon).warn("Second stop signal received, stopping at once.");
-    now = true;
+    abort_now = true;
   }
   stopper.join();
   hibiscuspick::StopLogs();
   return EXIT_SUCCESS;
 }
 
-int SayGood(const std::string& path) {
+int PrintValid(const std::string& path) {
   std::cout << path << ": settings are valid\n";
   return EXIT_SUCCESS;
 }
 
 int RunDaemon(const std::string& path, const std::string& text, bool check) {
-  const auto settings = GoodOrPrint(
+  const auto settings = ValidOrPrint(
       path, hibiscuspick::settings::ReadDaemonSettings(text, Environment));
   if (!settings) return kExitBadSettings;
-  return check ? SayGood(path) : Serve(*settings);
+  return check ? PrintValid(path) : Serve(*settings);
 }
 
 int RunEdge(const std::string& path, const std::string& text, bool check) {
   const auto settings =
-      GoodOrPrint(path, hibiscuspick::settings::ReadEdgeSettings(text));
+      ValidOrPrint(path, hibiscuspick::settings::ReadEdgeSettings(text));
   if (!settings) return kExitBadSettings;
-  return check ? SayGood(path)
+  return check ? PrintValid(path)
                : hibiscuspick::adapter::ServeEdge(*settings, path);
 }
 
--- a/packages/daemon/src/part_options.cc
+++ b/packages/daemon/src/component_options.cc
@@ -1,4 +1,4 @@
-#include "part_options.h"
+#include "component_options.h"
 
 #include "hibiscuspick/platform/call_budget.h"
 
@@ -25,8 +25,8 @@
   return options;
 }
 
-membership::ControlState StateOf(const settings::DaemonSettings& settings,
-                                 Incarnation incarnation) {
+membership::ControlState ControlStateOf(
+    const settings::DaemonSettings& settings, Incarnation incarnation) {
   membership::MemberState self;
   self.id = settings.instance;
   self.data_centre = settings.data_centre;
@@ -36,7 +36,7 @@
                                   membership::ControlLimits());
 }
 
-platform::Calls CallsOf(const settings::DaemonSettings& settings) {
+platform::Calls PlatformCallsOf(const settings::DaemonSettings& settings) {
   platform::HttpCallLimits limits;
   limits.timeout = settings.platform_timeout;
   const auto budget =
--- a/packages/daemon/src/part_options.h
+++ b/packages/daemon/src/component_options.h
@@ -14,9 +14,9 @@
                                    Incarnation incarnation);
 dispatch::ExecutorOptions ExecutorOptionsOf(
     const settings::DaemonSettings& settings, Incarnation incarnation);
-membership::ControlState StateOf(const settings::DaemonSettings& settings,
-                                 Incarnation incarnation);
-platform::Calls CallsOf(const settings::DaemonSettings& settings);
+membership::ControlState ControlStateOf(
+    const settings::DaemonSettings& settings, Incarnation incarnation);
+platform::Calls PlatformCallsOf(const settings::DaemonSettings& settings);
 http::ServerLimits CallerLimits(const settings::DaemonSettings& settings);
 http::ServerLimits OperatorLimits(const settings::DaemonSettings& settings);
 
--- a/packages/daemon/src/control_thread.cc
+++ b/packages/daemon/src/control_thread.cc
@@ -16,7 +16,7 @@
 template <class... F>
 Overload(F...) -> Overload<F...>;
 
-membership::ViewPointer LonelyView(const membership::MemberTable& table) {
+membership::ViewPointer SingleMemberView(const membership::MemberTable& table) {
   auto view = std::make_shared<membership::MembershipView>();
   view->self = table.self;
   view->data_centre = table.data_centre;
@@ -31,7 +31,7 @@
       ports_(std::move(ports)),
       random_(seed),
       view_(nullptr),
-      members_(LonelyView(state_.table)),
+      members_(SingleMemberView(state_.table)),
       configuration_(settings::BuildConfiguration(state_.config)) {
   view_.Set(MakeTrafficView(configuration_, members_));
 }
@@ -115,7 +115,7 @@
   complete_to_ = state_.config.complete_to.value;
   newest_ = state_.config.newest.value;
   if (state_.config_confirmed) confirmed_at_ = state_.config_confirmed->count;
-  if (rebuild_wanted_) Rebuild();
+  if (needs_rebuild_) Rebuild();
 }
 
 void ControlThread::Perform(const membership::Action& action) {
@@ -126,7 +126,7 @@
           },
           [&](const membership::PublishView& it) {
             members_ = it.view;
-            rebuild_wanted_ = true;
+            needs_rebuild_ = true;
           },
           [&](const membership::ApplyConfig& it) {
             for (const auto& name : it.changed) {
@@ -135,10 +135,10 @@
                         state_.config.objects.at(name).version.value);
             }
             // Only the watermark rose, as after each write of a record.
-            if (it.changed.empty() && configuration_->known) return;
+            if (it.changed.empty() && configuration_->loaded) return;
             configuration_ = settings::BuildConfiguration(state_.config,
                                                           configuration_.get());
-            rebuild_wanted_ = true;
+            needs_rebuild_ = true;
           },
           [&](const membership::StartWatching&) {
             Log(Part::kPlatform).info("Started to watch the platform.");
@@ -169,21 +169,21 @@
 }
 
 void ControlThread::Rebuild() {
-  rebuild_wanted_ = false;
+  needs_rebuild_ = false;
   const auto before = view_.Get();
   const auto after = MakeTrafficView(configuration_, members_);
   view_.Set(after);
   LogPlacement(*before, *after);
   ports_.on_view(*after);
   for (const auto& [id, news] : members_->servers) {
-    const auto it = passed_on_.find(id);
-    if (it != passed_on_.end() && it->second == news) continue;
-    passed_on_[id] = news;
+    const auto it = reported_drains_.find(id);
+    if (it != reported_drains_.end() && it->second == news) continue;
+    reported_drains_[id] = news;
     Log(Part::kMembers)
         .info("Backend server {} {} (incarnation {}).", id.text,
               news.draining ? "drains" : "accepts work",
               news.incarnation.value);
-    ports_.on_server_news(news);
+    ports_.on_drain_report(news);
   }
 }
 
--- a/packages/daemon/src/daemon.cc
+++ b/packages/daemon/src/daemon.cc
@@ -10,10 +10,10 @@
 
 // The time to send the last message to peers. Without it they would suspect
 // this instance and wait for it for some seconds.
-constexpr Millis kGoodbyeTakes{50};
+constexpr Millis kFinalMessageDelay{50};
 
 // The interval at which the stop polls for completion.
-constexpr Millis kStopPoll{10};
+constexpr Millis kStopPollInterval{10};
 
 }  // namespace
 
@@ -24,13 +24,13 @@
       &operators_server_,
       std::make_shared<const operators::Ports>(MakeOperatorsPorts()));
   platform::WatchOptions watch_options;
-  watch_options.wait = settings_.platform_watch;
+  watch_options.wait = settings_.platform_watch_timeout;
   platform::HttpCallLimits limits;
   limits.timeout = settings_.platform_timeout;
   watch_ = std::make_unique<platform::WatchLoop>(
       platform::MakeHttpCalls(settings_.platform, limits), watch_options,
       incarnation_.value, [this] { return control_.CompleteTo(); },
-      [this](const auto& answer) { TakeWatchAnswer(answer); },
+      [this](const auto& answer) { HandleWatchAnswer(answer); },
       [this] { return control_.Newest(); });
   auto listens = mesh_.Start();
   if (!IsOk(listens)) return listens;
@@ -60,42 +60,43 @@
          executor_.InFlight();
 }
 
-bool Daemon::Impl::WaitUntilIdle(Millis until, const std::atomic<bool>& now) {
+bool Daemon::Impl::WaitUntilIdle(Millis until,
+                                 const std::atomic<bool>& abort_now) {
   while (InFlight() > 0) {
-    if (now || SteadyNow() >= until) return false;
-    std::this_thread::sleep_for(kStopPoll.ToMicros());
+    if (abort_now || SteadyNow() >= until) return false;
+    std::this_thread::sleep_for(kStopPollInterval.ToMicros());
   }
   return true;
 }
 
-void Daemon::Impl::Stop(const std::atomic<bool>& now) {
-  const Millis begun = SteadyNow();
+void Daemon::Impl::Stop(const std::atomic<bool>& abort_now) {
+  const Millis started_at = SteadyNow();
   Log(Part::kDaemon)
       .info("Stopping with {} requests and attempts in flight.", InFlight());
   leaving_ = true;
   callers_server_.CloseAfterAnswers();
   control_.Post(membership::SelfPhase{membership::Phase::kLeaving});
   // The balancer and the peers learn of the stop late and keep sending.
-  while (!now && SteadyNow() < begun + settings_.balancer_lag) {
-    std::this_thread::sleep_for(kStopPoll.ToMicros());
+  while (!abort_now && SteadyNow() < started_at + settings_.balancer_lag) {
+    std::this_thread::sleep_for(kStopPollInterval.ToMicros());
   }
   // The server stops accepting before anything that requests depend on is
   // stopped: a request that arrived just after the lag would otherwise find no
   // executor and wait for its deadline in vain.
-  std::thread closing([this] { callers_server_.Stop(); });
-  if (!WaitUntilIdle(begun + settings_.stop_timeout, now)) {
+  std::thread stopping_callers([this] { callers_server_.Stop(); });
+  if (!WaitUntilIdle(started_at + settings_.stop_timeout, abort_now)) {
     Log(Part::kDaemon)
         .warn("Aborting {} requests and attempts in flight.", InFlight());
   }
-  if (!records_.Flush(begun + settings_.stop_timeout)) {
+  if (!records_.Flush(started_at + settings_.stop_timeout)) {
     Log(Part::kRecord)
         .warn("{} buckets of record claims have outcomes that are not stored.",
-              records_.unstored());
+              records_.unstored_buckets());
   }
   control_.PostAndWait(membership::SelfPhase{membership::Phase::kGone});
-  std::this_thread::sleep_for(kGoodbyeTakes.ToMicros());
+  std::this_thread::sleep_for(kFinalMessageDelay.ToMicros());
   executor_.Stop();
-  closing.join();
+  stopping_callers.join();
   operators_server_.Stop();
   if (lister_) lister_->Stop();
   if (watch_) watch_->Stop();
@@ -112,6 +113,8 @@
 
 Result<Done> Daemon::Start() { return impl_->Start(); }
 
-void Daemon::Stop(const std::atomic<bool>& now) { impl_->Stop(now); }
+void Daemon::Stop(const std::atomic<bool>& abort_now) {
+  impl_->Stop(abort_now);
+}
 
 }  // namespace hibiscuspick::daemon
--- a/packages/daemon/src/daemon_impl.h
+++ b/packages/daemon/src/daemon_impl.h
@@ -8,6 +8,7 @@
 #include <utility>
 #include <vector>
 
+#include "component_options.h"
 #include "hibiscuspick/base/log.h"
 #include "hibiscuspick/daemon/control_thread.h"
 #include "hibiscuspick/daemon/daemon.h"
@@ -23,7 +24,6 @@
 #include "hibiscuspick/platform/watch_loop.h"
 #include "hibiscuspick/records/record_runner.h"
 #include "hibiscuspick/routing/query_runner.h"
-#include "part_options.h"
 
 namespace hibiscuspick::daemon {
 
@@ -35,12 +35,12 @@
       : settings_(std::move(settings)),
         // A later incarnation only needs a later start time.
         incarnation_(static_cast<uint64_t>(WallNow().count)),
-        calls_(CallsOf(settings_)),
+        calls_(PlatformCallsOf(settings_)),
         executor_(ExecutorOptionsOf(settings_, incarnation_),
                   [this](const auto& server, auto incarnation, bool draining) {
-                    TakeHeaderNews(server, incarnation, draining);
+                    HandleHeaderReport(server, incarnation, draining);
                   }),
-        control_(StateOf(settings_, incarnation_), MakeControlPorts(),
+        control_(ControlStateOf(settings_, incarnation_), MakeControlPorts(),
                  incarnation_.value),
         runner_(settings_.instance, incarnation_, MakeRunnerPorts()),
         mesh_(MeshSettingsOf(settings_, incarnation_), MakeMeshCallbacks()),
@@ -56,12 +56,12 @@
         callers_(MakeCallersPorts(), &metrics_) {}
 
   Result<Done> Start();
-  void Stop(const std::atomic<bool>& now);
+  void Stop(const std::atomic<bool>& abort_now);
 
  private:
   // Watchers' reports reach their data centre by digests within one to two
   // seconds each.
-  static constexpr Millis kWordTakes{5000};
+  static constexpr Millis kReportDelay{5000};
 
   ControlPorts MakeControlPorts();
   routing::RunnerCallbacks MakeRunnerPorts();
@@ -70,24 +70,24 @@
   front::CallersPorts MakeCallersPorts();
   operators::Ports MakeOperatorsPorts();
 
-  void TakeHeaderNews(const BackendServerId& server, Incarnation incarnation,
-                      bool draining);
-  void TakeMessage(const InstanceId& from, inner::Message message);
-  void TakeWatchAnswer(const Result<platform::WatchResult>& answer);
-  void TakeView(const TrafficView& view);
+  void HandleHeaderReport(const BackendServerId& server,
+                          Incarnation incarnation, bool draining);
+  void HandleMessage(const InstanceId& from, inner::Message message);
+  void HandleWatchAnswer(const Result<platform::WatchResult>& answer);
+  void ApplyView(const TrafficView& view);
   records::DispatchResult DispatchRecord(const records::RecordRequest& request,
                                          Millis time_left);
   front::ConfigurationAge Age() const;
   // The age of the watchers' last report at which the platform counts as
   // unreachable: a full watch, and the time for the report to propagate.
-  Millis PlatformSilence() const {
-    return settings_.platform_watch + kWordTakes;
+  Millis MaxReportAge() const {
+    return settings_.platform_watch_timeout + kReportDelay;
   }
   Code Readiness() const;
-  StatusFacts Facts() const;
+  StatusData GatherStatusData() const;
   void AddGauges();
   size_t InFlight() const;
-  bool WaitUntilIdle(Millis until, const std::atomic<bool>& now);
+  bool WaitUntilIdle(Millis until, const std::atomic<bool>& abort_now);
 
   const settings::DaemonSettings settings_;
   const Incarnation incarnation_;
--- a/packages/daemon/src/daemon_ports.cc
+++ b/packages/daemon/src/daemon_ports.cc
@@ -14,8 +14,8 @@
                       membership::GossipMessage message) {
     mesh_.Send(peer, inner::ToMessage(std::move(message)));
   };
-  ports.on_view = [this](const TrafficView& view) { TakeView(view); };
-  ports.on_server_news = [this](const membership::DrainReport& news) {
+  ports.on_view = [this](const TrafficView& view) { ApplyView(view); };
+  ports.on_drain_report = [this](const membership::DrainReport& news) {
     executor_.ApplyDrainReport(news.server, news.incarnation, news.draining);
   };
   ports.adopt_incarnation = [this](Incarnation it) {
@@ -57,7 +57,7 @@
   inner::MeshCallbacks callbacks;
   callbacks.on_message = [this](const InstanceId& from,
                                 inner::Message message) {
-    TakeMessage(from, std::move(message));
+    HandleMessage(from, std::move(message));
   };
   callbacks.on_peer_failed = [this](const InstanceId& peer) {
     runner_.OnPeerFailed(peer);
@@ -107,10 +107,10 @@
   ports.token = settings_.operator_token;
   ports.data_centre = settings_.data_centre;
   ports.make_write_id = operators::MakeWriteId;
-  ports.pause = operators::PauseBetweenTries;
+  ports.sleep_between_attempts = operators::SleepBetweenAttempts;
   ports.calls = calls_;
   ports.configuration = [this] { return control_.View()->configuration; };
-  ports.status = [this] { return StatusJson(Facts()); };
+  ports.status = [this] { return StatusJson(GatherStatusData()); };
   ports.metrics = [this] {
     return metrics_.PrometheusText() + GroupMetricsText(executor_.Metrics());
   };
@@ -135,14 +135,15 @@
   return ports;
 }
 
-void Daemon::Impl::TakeHeaderNews(const BackendServerId& server,
-                                  Incarnation incarnation, bool draining) {
+void Daemon::Impl::HandleHeaderReport(const BackendServerId& server,
+                                      Incarnation incarnation, bool draining) {
   const auto news = membership::DrainReportOfReply(
       control_.View()->members->servers, server, incarnation, draining);
   if (news) control_.Post(membership::LocalDrain{*news});
 }
 
-void Daemon::Impl::TakeMessage(const InstanceId& from, inner::Message message) {
+void Daemon::Impl::HandleMessage(const InstanceId& from,
+                                 inner::Message message) {
   if (const auto* part = std::get_if<limits::PartRequest>(&message)) {
     parts_.Run(*part);
     return;
@@ -166,7 +167,7 @@
   }
 }
 
-void Daemon::Impl::TakeWatchAnswer(
+void Daemon::Impl::HandleWatchAnswer(
     const Result<platform::WatchResult>& answer) {
   const bool reachable = IsOk(answer);
   if (platform_reachable_.exchange(reachable) != reachable) {
@@ -178,7 +179,7 @@
   control_.Post(membership::WatchedConfig{news.delta, news.known});
 }
 
-void Daemon::Impl::TakeView(const TrafficView& view) {
+void Daemon::Impl::ApplyView(const TrafficView& view) {
   executor_.Apply(GroupConfigsOf(view));
   records_.SetWindow(RecordWindowOf(view));
   mesh_.SetPeers(membership::PeersOf(*view.members));
--- a/packages/daemon/src/daemon_facts.cc
+++ b/packages/daemon/src/daemon_status.cc
@@ -10,7 +10,7 @@
   // Only watchers observe the platform directly; other instances go by the age
   // of the watchers' last report.
   const bool reachable =
-      watching_ ? platform_reachable_.load() : age < PlatformSilence();
+      watching_ ? platform_reachable_.load() : age < MaxReportAge();
   return {age, reachable};
 }
 
@@ -19,17 +19,17 @@
   return serving_ ? Code::kOk : Code::kNotReady;
 }
 
-StatusFacts Daemon::Impl::Facts() const {
-  StatusFacts facts;
-  facts.view = control_.View();
-  facts.incarnation = incarnation_;
-  facts.watching = watching_;
-  facts.complete_to = control_.CompleteTo();
-  facts.age = Age();
-  facts.readiness = Readiness();
-  facts.alarms = control_.alarms();
-  facts.executor = executor_.Metrics();
-  return facts;
+StatusData Daemon::Impl::GatherStatusData() const {
+  StatusData data;
+  data.view = control_.View();
+  data.incarnation = incarnation_;
+  data.watching = watching_;
+  data.complete_to = control_.CompleteTo();
+  data.age = Age();
+  data.readiness = Readiness();
+  data.alarms = control_.alarms();
+  data.executor = executor_.Metrics();
+  return data;
 }
 
 void Daemon::Impl::AddGauges() {
--- a/packages/daemon/src/instance_lister.cc
+++ b/packages/daemon/src/instance_lister.cc
@@ -5,9 +5,9 @@
 namespace hibiscuspick::daemon {
 
 InstanceLister::InstanceLister(platform::Calls calls,
-                               std::function<bool()> wanted, Sink sink)
+                               std::function<bool()> should_list, Sink sink)
     : calls_(std::move(calls)),
-      wanted_(std::move(wanted)),
+      should_list_(std::move(should_list)),
       sink_(std::move(sink)) {
   thread_ = std::thread([this] { Run(); });
 }
@@ -27,7 +27,7 @@
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     lock.unlock();
-    if (wanted_()) {
+    if (should_list_()) {
       auto listed = calls_.instances();
       if (IsOk(listed)) sink_(ValueOf(std::move(listed)));
     }
--- a/packages/daemon/src/part_service.cc
+++ b/packages/daemon/src/part_service.cc
@@ -14,7 +14,7 @@
 
 PartService::PartService(dispatch::PartExecutor* executor, Send send)
     : executor_(executor), send_(std::move(send)) {
-  thread_ = std::thread([this] { Notice(); });
+  thread_ = std::thread([this] { RunHeartbeats(); });
 }
 
 PartService::~PartService() { Stop(); }
@@ -34,7 +34,7 @@
     running_[part.origin] = {part.shards.size(), SteadyNow()};
   }
   executor_->Run(part, [this, origin = part.origin](auto outcomes) {
-    TakeOutcomes(origin, std::move(outcomes));
+    HandleOutcomes(origin, std::move(outcomes));
   });
 }
 
@@ -51,8 +51,8 @@
   return running_.size();
 }
 
-void PartService::TakeOutcomes(const limits::PartOrigin& origin,
-                               std::vector<limits::ShardOutcome> outcomes) {
+void PartService::HandleOutcomes(const limits::PartOrigin& origin,
+                                 std::vector<limits::ShardOutcome> outcomes) {
   {
     const std::lock_guard lock(mutex_);
     const auto it = running_.find(origin);
@@ -65,22 +65,22 @@
   send_(origin.instance, OutcomesFor(origin, std::move(outcomes)));
 }
 
-std::vector<limits::PartOrigin> PartService::DueNotices() {
+std::vector<limits::PartOrigin> PartService::DueHeartbeats() {
   const Millis now = SteadyNow();
   std::vector<limits::PartOrigin> due;
   for (auto& [origin, state] : running_) {
-    if (now - state.last_sent < kNoticeInterval) continue;
+    if (now - state.last_sent < kHeartbeatInterval) continue;
     state.last_sent = now;
     due.push_back(origin);
   }
   return due;
 }
 
-void PartService::Notice() {
+void PartService::RunHeartbeats() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
-    wake_.wait_for(lock, kNoticeInterval.ToMicros());
-    const auto due = DueNotices();
+    wake_.wait_for(lock, kHeartbeatInterval.ToMicros());
+    const auto due = DueHeartbeats();
     lock.unlock();
     for (const auto& it : due) send_(it.instance, OutcomesFor(it, {}));
     lock.lock();
--- a/packages/daemon/src/status.cc
+++ b/packages/daemon/src/status.cc
@@ -47,14 +47,15 @@
   Json servers = Json::array();
   for (const auto& [id, service] : view.configuration->services) {
     for (const auto& it : service.backend_servers) {
-      const bool drained = view.configuration->drains.contains(it.id);
-      const bool drains = membership::IsDraining(*view.members, it.id);
+      const bool is_drained_by_operator =
+          view.configuration->drains.contains(it.id);
+      const bool is_draining = membership::IsDraining(*view.members, it.id);
       servers.push_back({{"backend_server", it.id.text},
                          {"service", id.text},
                          {"address", ToText(it.address)},
                          {"data_centre", it.data_centre.text},
-                         {"drained_by_operator", drained},
-                         {"draining", drains || drained},
+                         {"drained_by_operator", is_drained_by_operator},
+                         {"draining", is_draining || is_drained_by_operator},
                          {"owner", OwnerOf(view, id)}});
     }
   }
@@ -132,15 +133,15 @@
   return *series;
 }
 
-void AppendHead(const char* name, const char* help, const char* type,
-                std::string* text) {
+void AppendHeader(const char* name, const char* help, const char* type,
+                  std::string* text) {
   *text += std::string("# HELP ") + name + " " + help + "\n";
   *text += std::string("# TYPE ") + name + " " + type + "\n";
 }
 
 void AppendSeries(const GroupSeries& series,
                   const dispatch::ExecutorMetrics& metrics, std::string* text) {
-  AppendHead(series.name, series.help, series.type, text);
+  AppendHeader(series.name, series.help, series.type, text);
   for (const auto& group : metrics.groups) {
     *text += fmt::format("{}{{service=\"{}\"}} {}\n", series.name,
                          group.service.text, series.read(group));
@@ -149,7 +150,7 @@
 
 void AppendCodes(const dispatch::ExecutorMetrics& metrics, std::string* text) {
   constexpr char kName[] = "hibiscuspick_attempts_total";
-  AppendHead(kName, "Attempts by how they ended.", "counter", text);
+  AppendHeader(kName, "Attempts by how they ended.", "counter", text);
   for (const auto& group : metrics.groups) {
     for (const auto& [code, n] : group.attempts_by_code) {
       *text += fmt::format("{}{{service=\"{}\",code=\"{}\"}} {}\n", kName,
@@ -158,28 +159,28 @@
   }
 }
 
-void AppendPlain(const char* name, const char* help, const char* type,
-                 uint64_t value, std::string* text) {
-  AppendHead(name, help, type, text);
+void AppendUnlabelled(const char* name, const char* help, const char* type,
+                      uint64_t value, std::string* text) {
+  AppendHeader(name, help, type, text);
   *text += fmt::format("{} {}\n", name, value);
 }
 
 }  // namespace
 
-Json StatusJson(const StatusFacts& facts) {
-  const TrafficView& view = *facts.view;
+Json StatusJson(const StatusData& data) {
+  const TrafficView& view = *data.view;
   const auto& members = *view.members;
   return {{"instance", members.self.text},
           {"data_centre", members.data_centre.text},
-          {"incarnation", facts.incarnation.value},
-          {"readiness", CodeName(facts.readiness)},
+          {"incarnation", data.incarnation.value},
+          {"readiness", CodeName(data.readiness)},
           {"platform",
-           {{"reachable", facts.age.platform_reachable},
-            {"watching", facts.watching},
-            {"configuration_age_ms", facts.age.age.count}}},
+           {{"reachable", data.age.platform_reachable},
+            {"watching", data.watching},
+            {"configuration_age_ms", data.age.age.count}}},
           {"configuration",
-           {{"complete_to", facts.complete_to.value},
-            {"alarms", facts.alarms},
+           {{"complete_to", data.complete_to.value},
+            {"alarms", data.alarms},
             {"versions", VersionsJson(*view.configuration)},
             {"warnings", WarningsJson(*view.configuration)}}},
           {"members", MembersJson(members)},
@@ -190,14 +191,14 @@
   std::string text;
   for (const auto& it : AllSeries()) AppendSeries(it, metrics, &text);
   AppendCodes(metrics, &text);
-  AppendPlain("hibiscuspick_backend_connections_opened_total",
-              "Connections opened to backend servers.", "counter",
-              metrics.connections_opened, &text);
-  AppendPlain("hibiscuspick_backend_connections",
-              "Connections now open to backend servers.", "gauge",
-              metrics.connections_open, &text);
-  AppendPlain("hibiscuspick_cancels_sent_total", "Cancellations sent.",
-              "counter", metrics.cancels_sent, &text);
+  AppendUnlabelled("hibiscuspick_backend_connections_opened_total",
+                   "Connections opened to backend servers.", "counter",
+                   metrics.connections_opened, &text);
+  AppendUnlabelled("hibiscuspick_backend_connections",
+                   "Connections now open to backend servers.", "gauge",
+                   metrics.connections_open, &text);
+  AppendUnlabelled("hibiscuspick_cancels_sent_total", "Cancellations sent.",
+                   "counter", metrics.cancels_sent, &text);
   return text;
 }
 
--- a/packages/daemon/src/traffic_view.cc
+++ b/packages/daemon/src/traffic_view.cc
@@ -117,9 +117,9 @@
   group->policy.connections.owner = true;
   group->policy.connections.reserve = 0;
   group->policy.connections.preconnect = 0;
-  const int sharers = ServingMembers(*view.members);
+  const int instances = ServingMembers(*view.members);
   for (auto& server : group->service.backend_servers) {
-    server.max_connections = std::max(1, server.max_connections / sharers);
+    server.max_connections = std::max(1, server.max_connections / instances);
   }
 }
 
@@ -145,7 +145,9 @@
   return view;
 }
 
-bool IsConfigured(const TrafficView& view) { return view.configuration->known; }
+bool IsConfigured(const TrafficView& view) {
+  return view.configuration->loaded;
+}
 
 std::vector<InstanceId> CandidatesOf(const TrafficView& view,
                                      const ServiceId& service) {
--- a/packages/daemon/tests/whole_path_test.cc
+++ b/packages/daemon/tests/end_to_end_test.cc
@@ -12,7 +12,7 @@
 using hibiscuspick::Eventually;
 using hibiscuspick::Json;
 using hibiscuspick::daemon::Call;
-using hibiscuspick::daemon::CheckTrue;
+using hibiscuspick::daemon::CheckConsistent;
 using hibiscuspick::daemon::FleetShape;
 using hibiscuspick::daemon::HttpAnswer;
 using hibiscuspick::daemon::TestFleet;
@@ -26,22 +26,22 @@
 constexpr std::chrono::milliseconds kBalancerPoll{10};
 constexpr std::chrono::milliseconds kBalancerLag{50};
 
-uint64_t Answered(const HttpAnswer& answer) {
+uint64_t ShardsAnswered(const HttpAnswer& answer) {
   if (!answer.body.contains("coverage")) return 0;
   return answer.body["coverage"]["shards_answered"];
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(every_instance_answers_whole_from_one_version) {
+BOOST_AUTO_TEST_CASE(every_instance_answers_completely_from_one_version) {
   TestFleet fleet({});
   fleet.Configure();
   for (size_t i = 0; i < 3; ++i) {
     for (const char* route : {"fast", "whole", "slow"}) {
       const auto answer = fleet.Query(i, route);
       BOOST_TEST(answer.status == 200);
-      CheckTrue(answer, kShards);
-      BOOST_TEST(Answered(answer) == kShards);
+      CheckConsistent(answer, kShards);
+      BOOST_TEST(ShardsAnswered(answer) == kShards);
     }
   }
 }
@@ -49,21 +49,22 @@
 // One of a service's two backend servers dies, then the other. The caller gets
 // complete answers as long as one is alive. After that, the answer must name
 // the missing shard instead of claiming full coverage.
-BOOST_AUTO_TEST_CASE(a_lost_replica_costs_nothing_and_a_lost_service_is_told) {
+BOOST_AUTO_TEST_CASE(
+    a_lost_replica_has_no_effect_and_a_lost_service_is_reported) {
   TestFleet fleet({});
   fleet.Configure();
   fleet.Server(1, 0).Kill();
   for (size_t i = 0; i < 3; ++i) {
     const auto answer = fleet.Query(i, "whole");
     BOOST_TEST(answer.status == 200);
-    BOOST_TEST(Answered(answer) == kShards);
+    BOOST_TEST(ShardsAnswered(answer) == kShards);
   }
   fleet.Server(1, 1).Kill();
   for (size_t i = 0; i < 3; ++i) {
     const auto answer = fleet.Query(i, "whole", 500);
     BOOST_TEST(answer.status == 206);
-    CheckTrue(answer, kShards);
-    BOOST_TEST(Answered(answer) == kShards - 1);
+    CheckConsistent(answer, kShards);
+    BOOST_TEST(ShardsAnswered(answer) == kShards - 1);
     BOOST_TEST(answer.body["coverage"]["missing"][0]["shard"] == "p1");
   }
 }
@@ -71,7 +72,7 @@
 // The platform is down for a long time. Queries must continue with the known
 // configuration and report its age; a change must be rejected rather than
 // appear accepted.
-BOOST_AUTO_TEST_CASE(queries_go_on_without_the_platform) {
+BOOST_AUTO_TEST_CASE(queries_continue_without_the_platform) {
   TestFleet fleet({});
   fleet.Configure();
   fleet.SetOutage(Outage::kRefused);
@@ -82,7 +83,7 @@
   }));
   const auto answer = fleet.Query(1, "whole");
   BOOST_TEST(answer.status == 200);
-  BOOST_TEST(Answered(answer) == kShards);
+  BOOST_TEST(ShardsAnswered(answer) == kShards);
   const auto refused = fleet.Operate(
       0, "PUT", "/v1/routes/new",
       {{"snapshot", "all"}, {"lane", "urgent"}, {"prefer", "latency"}});
@@ -137,7 +138,7 @@
   const uint64_t before = leaving.stats().arrived;
   for (int n = 0; n < 30; ++n) {
     const auto answer = fleet.Query(static_cast<size_t>(n % 3), "whole");
-    BOOST_TEST(Answered(answer) == kShards);
+    BOOST_TEST(ShardsAnswered(answer) == kShards);
   }
   BOOST_TEST(leaving.stats().arrived == before);
 }
@@ -154,7 +155,7 @@
   std::atomic<bool> stop{false};
   const auto ask = [&](size_t i) {
     const auto answer = fleet.Query(i, "whole");
-    const bool good = answer.status == 200 && Answered(answer) == kShards;
+    const bool good = answer.status == 200 && ShardsAnswered(answer) == kShards;
     ++(good ? whole : cut);
   };
   std::vector<std::thread> threads;
@@ -186,7 +187,7 @@
 // A load balancer lags by more than balancer_lag, and requests still arrive
 // while the instance stops. Each is answered completely or not accepted; none
 // is accepted and then fails because a component has already stopped.
-BOOST_AUTO_TEST_CASE(a_request_after_the_lag_is_whole_or_not_taken) {
+BOOST_AUTO_TEST_CASE(a_request_after_the_lag_is_complete_or_not_accepted) {
   for (int round = 0; round < 3; ++round) {
     TestFleet fleet({});
     fleet.Configure();
@@ -200,7 +201,8 @@
           if (answer.refused) return;
           // The connection was closed before any of the request was read.
           if (answer.status == 0) continue;
-          const bool good = answer.status == 200 && Answered(answer) == kShards;
+          const bool good =
+              answer.status == 200 && ShardsAnswered(answer) == kShards;
           ++(good ? whole : wrong);
         }
       });
@@ -216,7 +218,7 @@
 // Every instance is replaced, one after the other, while the platform is down.
 // Each new one has no disk and must load the configuration from its peers, or
 // the fleet loses accepted changes.
-BOOST_AUTO_TEST_CASE(replacing_one_by_one_keeps_the_configuration) {
+BOOST_AUTO_TEST_CASE(replacing_instances_one_by_one_keeps_the_configuration) {
   TestFleet fleet({});
   fleet.Configure();
   const uint64_t version = fleet.VersionAt(0, "routes/slow");
@@ -231,13 +233,13 @@
     BOOST_REQUIRE(Eventually(
         [&] { return fleet.VersionAt(i, "routes/slow") == version; }));
     BOOST_TEST(Eventually(
-        [&] { return Answered(fleet.Query(i, "whole")) == kShards; }));
+        [&] { return ShardsAnswered(fleet.Query(i, "whole")) == kShards; }));
   }
 }
 
 // All instances are replaced at once while the platform is down. No instance
 // has the configuration, and a made-up answer would be worse than none.
-BOOST_AUTO_TEST_CASE(replaced_all_at_once_without_the_platform_is_not_ready) {
+BOOST_AUTO_TEST_CASE(replacing_all_at_once_without_the_platform_is_not_ready) {
   TestFleet fleet({});
   fleet.Configure();
   fleet.SetOutage(Outage::kRefused);
@@ -319,7 +321,7 @@
   for (const auto& list : seen) {
     for (const auto& it : list) {
       BOOST_REQUIRE((it.status == 200 || it.status == 206));
-      CheckTrue(it, kShards);
+      CheckConsistent(it, kShards);
       last = std::max<uint64_t>(last, it.body["snapshot"]["version"]);
     }
   }
--- a/packages/daemon/tests/test_fleet.h
+++ b/packages/daemon/tests/test_fleet.h
@@ -82,7 +82,7 @@
   // Stops gracefully.
   void StopDaemon(size_t i) {
     if (!daemons[i]) return;
-    daemons[i]->Stop(no_);
+    daemons[i]->Stop(never_abort_);
     daemons[i].reset();
   }
 
@@ -97,9 +97,9 @@
     PutRoute("whole", "interactive", "coverage");
     PutRoute("slow", "bulk", "coverage");
     for (size_t i = 0; i < daemons.size(); ++i) {
-      BOOST_REQUIRE(Eventually([&] { return InForce(i, "routes/slow"); }));
+      BOOST_REQUIRE(Eventually([&] { return HasObject(i, "routes/slow"); }));
     }
-    BOOST_REQUIRE(Eventually([&] { return AllSeeAll(); }));
+    BOOST_REQUIRE(Eventually([&] { return AllSeeAllServing(); }));
   }
 
   Json SnapshotObject(uint64_t version) const {
@@ -151,18 +151,18 @@
     if (!status.is_object()) return 0;
     return status["configuration"]["versions"].value(name, uint64_t{0});
   }
-  bool InForce(size_t i, const std::string& name) {
+  bool HasObject(size_t i, const std::string& name) {
     return VersionAt(i, name) > 0;
   }
 
   // Whether each daemon sees all others as serving.
-  bool AllSeeAll() {
+  bool AllSeeAllServing() {
     for (size_t i = 0; i < daemons.size(); ++i) {
-      if (daemons[i] && ServingSeenBy(i) != Alive()) return false;
+      if (daemons[i] && ServingSeenBy(i) != AliveCount()) return false;
     }
     return true;
   }
-  size_t Alive() const {
+  size_t AliveCount() const {
     size_t n = 0;
     for (const auto& it : daemons) n += it ? 1 : 0;
     return n;
@@ -252,11 +252,11 @@
   }
 
   const FleetShape shape_;
-  const std::atomic<bool> no_{false};
+  const std::atomic<bool> never_abort_{false};
 };
 
 // Compares an answer's coverage and version with its content.
-inline void CheckTrue(const HttpAnswer& answer, uint64_t shards) {
+inline void CheckConsistent(const HttpAnswer& answer, uint64_t shards) {
   BOOST_REQUIRE(answer.body.is_object());
   const Json& coverage = answer.body["coverage"];
   BOOST_TEST(coverage["shards_total"] == shards);
--- a/packages/edge/include/hibiscuspick/edge/backends.h
+++ b/packages/edge/include/hibiscuspick/edge/backends.h
@@ -193,7 +193,7 @@
   // of its own, and without the report would refuse many callers before it
   // noticed the cut.
   void RecordCutOffReport() {
-    if (policy_.mechanisms.told_cut_off) cut_off_reported_at_ = loop_->now();
+    if (policy_.mechanisms.cut_off_notices) cut_off_reported_at_ = loop_->now();
   }
   bool IsReportedCutOff() const;
 
--- a/packages/edge/src/backends.cc
+++ b/packages/edge/src/backends.cc
@@ -147,7 +147,7 @@
   choice.cold_allowance = state.share.cold_allowance;
   JoinPauseCycle(&state, spec.budget_service);
   choice.pause_cycle = state.pause_cycle.get();
-  if (policy_.mechanisms.dearer_failing &&
+  if (policy_.mechanisms.failing_server_penalty &&
       !HasExtraAttempt(spec.budget_service, engine::kUrgentReserve)) {
     choice.failure_cost = choice.unbudgeted_failure_cost;
   }
@@ -174,7 +174,7 @@
 
 void Backends::JoinPauseCycle(ServiceState* state,
                               const ServiceId& budget_service) {
-  if (state->pause_cycle || !policy_.mechanisms.expected_pauses) return;
+  if (state->pause_cycle || !policy_.mechanisms.pause_prediction) return;
   auto& cycle = pause_cycles_[budget_service];
   if (!cycle) cycle = std::make_shared<engine::PauseCycle>();
   state->pause_cycle = cycle;
@@ -311,7 +311,7 @@
   // connection costs less.
   const auto& queue = StateOf(attempt.server->view.entry.service).queue;
   const bool blocks_queue =
-      policy_.mechanisms.room_from_abandoned && !queue.empty();
+      policy_.mechanisms.preempt_abandoned && !queue.empty();
   if (!stop_server && !blocks_queue) {
     // The reply is still a latency sample of the server.
     attempt.spec.on_end = [this, median_latency = attempt.spec.median_latency](
--- a/packages/edge/src/backends_queue.cc
+++ b/packages/edge/src/backends_queue.cc
@@ -15,8 +15,8 @@
 
 QueueKey Backends::Enqueue(const ServiceId& service, QueuedPart part) {
   const bool is_late = part.deprioritized || part.due < loop_->now();
-  const QueueKey key{policy_.mechanisms.late_behind && is_late, part.due.count,
-                     part.priority, ++last_queue_number_};
+  const QueueKey key{policy_.mechanisms.deprioritize_late && is_late,
+                     part.due.count, part.priority, ++last_queue_number_};
   StateOf(service).queue.emplace(key, std::move(part));
   ScheduleDispatch(service);
   return key;
@@ -39,7 +39,7 @@
 // Moves overdue parts after those that can still be on time. They get the slots
 // that are left and are answered late or refused at their deadline.
 void Backends::DeprioritizeOverdue(ServiceState* state) {
-  if (!policy_.mechanisms.late_behind) return;
+  if (!policy_.mechanisms.deprioritize_late) return;
   auto& queue = state->queue;
   while (!queue.empty()) {
     const auto first = queue.begin();
--- a/packages/edge/src/query_retry.cc
+++ b/packages/edge/src/query_retry.cc
@@ -28,7 +28,7 @@
   // attempt.
   const bool is_extra = may_have_run || part.refusals > 0;
   const bool is_urgent =
-      !mechanisms().needed_retries ||
+      !mechanisms().urgent_retries_only ||
       engine::NeedsRetry(parts_.size(), FailedPartCount(), NeededPartCount());
   const ExtraAttempt kind = !is_extra   ? ExtraAttempt::kNone
                             : is_urgent ? ExtraAttempt::kUrgent
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -76,7 +76,7 @@
   deadlines_.deadline =
       started_at_ + Min(deadlines.deadline_in, route_->timeout);
   Millis answer_in = deadlines.answer_in;
-  if (mechanisms().answer_lag)
+  if (mechanisms().answer_lag_compensation)
     answer_in = answer_in - context_->answer_lag.typical();
   if (deadlines.lags) {
     answer_in = engine::BestAnswerTime(
@@ -115,7 +115,7 @@
   const auto admission =
       engine::Admit(estimates, needed,
                     {to_target, deadlines_.deadline - started_at_, is_retry_});
-  if (mechanisms().whole_query_refusal && !admission.admitted &&
+  if (mechanisms().whole_query_rejection && !admission.admitted &&
       shard_indices_.empty()) {
     retry_after_ = admission.retry_after;
     refusal_estimate_ = admission.critical_shard;
@@ -124,8 +124,7 @@
   }
   deprioritized_ = admission.deprioritized;
   // A peer that forwarded parts needs all of them.
-  const bool may_defer =
-      mechanisms().kept_back_shards && shard_indices_.empty();
+  const bool may_defer = mechanisms().deferred_shards && shard_indices_.empty();
   const auto plan = engine::PlanFanOut(
       estimates, needed, to_target, may_defer ? kDeferThreshold : kNeverDefer);
   if (!plan.feasible) {
--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -147,7 +147,7 @@
 }
 
 Result<Done> TrafficServer::Listen() {
-  if (settings_.backends.mechanisms.early_requests)
+  if (settings_.backends.mechanisms.early_request_queue)
     early_requests_.StartHolding();
   MeasureLoopLag();
   AddGauges();
@@ -222,7 +222,7 @@
 }
 
 void TrafficServer::CheckCutOff() {
-  if (!settings_.backends.mechanisms.told_cut_off) return;
+  if (!settings_.backends.mechanisms.cut_off_notices) return;
   unable_reported_at_ = loop_->now();
   // As if a request to each data centre had been unanswered for this long.
   prober_.SuspectAll(loop_->now() - engine::kSilenceThreshold);
--- a/packages/inner/include/hibiscuspick/inner/message.h
+++ b/packages/inner/include/hibiscuspick/inner/message.h
@@ -13,7 +13,7 @@
 // Increased by a change that is incompatible with older instances.
 inline constexpr int kProtocolVersion = 1;
 // The oldest version that is still supported.
-inline constexpr int kOldestProtocolVersion = 1;
+inline constexpr int kMinProtocolVersion = 1;
 
 // Outcomes of some of a part's shards; each shard's outcome is sent once.
 struct PartOutcomes {
--- a/packages/inner/include/hibiscuspick/inner/peer_mesh.h
+++ b/packages/inner/include/hibiscuspick/inner/peer_mesh.h
@@ -29,14 +29,14 @@
   // The time from a connection's start to a valid hello.
   Millis hello_timeout{3000};
   // After a failed connect, messages to the peer are rejected for this long.
-  Millis retry_after{200};
+  Millis reconnect_backoff{200};
   size_t max_frame = 4 << 20;
   size_t max_connections = 2048;
   // Concurrent connections without a valid hello.
-  size_t max_strangers = 64;
+  size_t max_pending_connections = 64;
   // Queue limits for each peer, in messages.
-  size_t queued_traffic = 4096;
-  size_t queued_control = 64;
+  size_t max_queued_traffic = 4096;
+  size_t max_queued_control = 64;
   // Approximate size of a batch, which is sent in one deliver call.
   size_t batch_bytes = 256 << 10;
 };
@@ -69,7 +69,7 @@
   uint64_t frames_sent = 0;
   uint64_t messages_received = 0;
   uint64_t messages_dropped = 0;
-  uint64_t refused_connections = 0;
+  uint64_t rejected_connections = 0;
   // Payload bytes of frames.
   uint64_t bytes_sent = 0;
   uint64_t bytes_received = 0;
--- a/packages/inner/src/hangup_watch.cc
+++ b/packages/inner/src/hangup_watch.cc
@@ -12,7 +12,7 @@
 HangupWatch::~HangupWatch() { Stop(); }
 
 void HangupWatch::Start() {
-  wake_ = ::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
+  wake_fd_ = ::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
   thread_ = std::thread([this] { Run(); });
 }
 
@@ -24,13 +24,13 @@
   }
   Wake();
   thread_.join();
-  ::close(wake_);
+  ::close(wake_fd_);
 }
 
 void HangupWatch::Wake() {
   const uint64_t one = 1;
   // EAGAIN means that a wake-up is pending already.
-  [[maybe_unused]] const auto n = ::write(wake_, &one, sizeof one);
+  [[maybe_unused]] const auto n = ::write(wake_fd_, &one, sizeof one);
 }
 
 uint64_t HangupWatch::Add(int fd, std::function<void()> on_hangup) {
@@ -53,7 +53,7 @@
   std::vector<pollfd> polled;
   std::vector<uint64_t> numbers;
   for (;;) {
-    polled.assign(1, pollfd{wake_, POLLIN, 0});
+    polled.assign(1, pollfd{wake_fd_, POLLIN, 0});
     numbers.assign(1, 0);
     {
       const std::lock_guard lock(mutex_);
@@ -68,7 +68,7 @@
     // entry number below, and Add wakes this thread.
     ::poll(polled.data(), polled.size(), -1);
     uint64_t drained = 0;
-    [[maybe_unused]] const auto n = ::read(wake_, &drained, sizeof drained);
+    [[maybe_unused]] const auto n = ::read(wake_fd_, &drained, sizeof drained);
     const std::lock_guard lock(mutex_);
     for (size_t i = 1; i < polled.size(); ++i) {
       if (polled[i].revents == 0) continue;
--- a/packages/inner/src/hangup_watch.h
+++ b/packages/inner/src/hangup_watch.h
@@ -43,7 +43,7 @@
   std::map<uint64_t, Entry> entries_;
   uint64_t next_ = 1;
   bool stopping_ = false;
-  int wake_ = -1;
+  int wake_fd_ = -1;
   std::thread thread_;
 };
 
--- a/packages/inner/src/identity.cc
+++ b/packages/inner/src/identity.cc
@@ -2,7 +2,7 @@
 
 namespace hibiscuspick::inner {
 
-bool SameKey(std::string_view a, std::string_view b) {
+bool KeysEqual(std::string_view a, std::string_view b) {
   unsigned differing = a.size() == b.size() ? 0 : 1;
   for (size_t i = 0; i < a.size() && !b.empty(); ++i) {
     const auto x = static_cast<unsigned char>(a[i]);
--- a/packages/inner/src/identity.h
+++ b/packages/inner/src/identity.h
@@ -24,7 +24,7 @@
   std::atomic<uint64_t> frames_sent{0};
   std::atomic<uint64_t> messages_received{0};
   std::atomic<uint64_t> messages_dropped{0};
-  std::atomic<uint64_t> refused_connections{0};
+  std::atomic<uint64_t> rejected_connections{0};
   std::atomic<uint64_t> bytes_sent{0};
   std::atomic<uint64_t> bytes_received{0};
 };
@@ -32,6 +32,6 @@
 // Compares in constant time, so that the time doesn't reveal to an
 // unauthenticated client how much of its guess was correct. It runs only once
 // for each connection.
-bool SameKey(std::string_view a, std::string_view b);
+bool KeysEqual(std::string_view a, std::string_view b);
 
 }  // namespace hibiscuspick::inner
--- a/packages/inner/src/link.cc
+++ b/packages/inner/src/link.cc
@@ -18,7 +18,9 @@
 
 // Half of the other side's idle timeout, so that this side always closes an
 // idle connection; if the other side did, it would look like a crash.
-Millis IdleOf(const MeshLimits& limits) { return limits.idle_timeout * 0.5; }
+Millis IdleTimeoutOf(const MeshLimits& limits) {
+  return limits.idle_timeout * 0.5;
+}
 
 }  // namespace
 
@@ -45,18 +47,19 @@
   wake_.notify_all();
 }
 
-Link::Offered Link::Offer(const membership::Peer& to, Message message) {
+Link::EnqueueResult Link::Enqueue(const membership::Peer& to, Message message) {
   const Millis now = SteadyNow();
   const std::lock_guard lock(mutex_);
-  if (ended_ || stopping_) return Offered::kEnded;
-  if (now < refuse_until_) return Offered::kRefused;
+  if (ended_ || stopping_) return EnqueueResult::kEnded;
+  if (now < reject_until_) return EnqueueResult::kRejected;
   const bool traffic = IsTraffic(message);
   auto& queue = traffic ? traffic_ : control_;
-  const size_t most = traffic ? limits_.queued_traffic : limits_.queued_control;
-  if (queue.size() >= most) return Offered::kRefused;
+  const size_t limit =
+      traffic ? limits_.max_queued_traffic : limits_.max_queued_control;
+  if (queue.size() >= limit) return EnqueueResult::kRejected;
   queue.push_back({to, std::move(message), now});
   wake_.notify_one();
-  return Offered::kQueued;
+  return EnqueueResult::kQueued;
 }
 
 void Link::Run() {
@@ -73,7 +76,8 @@
   const auto has_work = [this] {
     return stopping_ || hung_up_ || !traffic_.empty() || !control_.empty();
   };
-  const bool woken = wake_.wait_for(lock, IdleOf(limits_).ToMicros(), has_work);
+  const bool woken =
+      wake_.wait_for(lock, IdleTimeoutOf(limits_).ToMicros(), has_work);
   if (stopping_ || !woken) {
     ended_ = true;
     return false;
@@ -96,7 +100,7 @@
   while (!control_.empty() && bytes < limits_.batch_bytes) take(&control_);
 }
 
-void Link::NoteHangup() {
+void Link::RecordHangup() {
   const std::lock_guard lock(mutex_);
   hung_up_ = true;
   wake_.notify_one();
@@ -129,7 +133,7 @@
                    {&counters_->bytes_sent, &counters_->bytes_received});
     client_ = std::make_unique<wire::InnerClient>(
         MakeProtocolFactory(limits_.max_frame)->getProtocol(framed));
-    return SayHello(socket_->getSocketFD());
+    return SendHello(socket_->getSocketFD());
   } catch (const TException& ex) {
     Log(Part::kMembers)
         .debug("Could not connect to {}: {}.", ToText(address_), ex.what());
@@ -137,7 +141,7 @@
   }
 }
 
-bool Link::SayHello(int fd) {
+bool Link::SendHello(int fd) {
   wire::Hello hello;
   hello.protocol_version = kProtocolVersion;
   hello.key = identity_->key;
@@ -147,8 +151,8 @@
   hello.__set_inner_address(ToText(identity_->address));
   wire::HelloReply reply;
   client_->hello(reply, hello);
-  const bool understood = reply.protocol_version >= kOldestProtocolVersion;
-  if (!reply.accepted || !understood) {
+  const bool is_supported = reply.protocol_version >= kMinProtocolVersion;
+  if (!reply.accepted || !is_supported) {
     Log(Part::kMembers)
         .warn(
             "Connection rejected by {}: {} (its protocol version {}, ours {}).",
@@ -158,7 +162,7 @@
   }
   peer_.id = InstanceId(reply.instance);
   peer_.incarnation = Incarnation(static_cast<uint64_t>(reply.incarnation));
-  watch_number_ = watch_->Add(fd, [this] { NoteHangup(); });
+  watch_number_ = watch_->Add(fd, [this] { RecordHangup(); });
   return true;
 }
 
@@ -167,16 +171,16 @@
   const auto misaddressed = [&](const Item& it) {
     if (it.to.id.empty()) return false;
     const bool other = it.to.id != peer_.id;
-    const bool other_life =
+    const bool other_incarnation =
         it.to.incarnation.value != 0 && it.to.incarnation != peer_.incarnation;
     // Gossip may reach a new incarnation of the same instance.
-    const bool wrong = other || (other_life && IsTraffic(it.message));
+    const bool wrong = other || (other_incarnation && IsTraffic(it.message));
     if (wrong) failed.insert(it.to.id);
     return wrong;
   };
   const size_t n = std::erase_if(*batch, misaddressed);
   counters_->messages_dropped += n;
-  Report(failed);
+  ReportFailed(failed);
 }
 
 void Link::Deliver(Items batch) {
@@ -188,7 +192,7 @@
   if (hung_up) {
     // Messages sent before may be lost, so the peer is reported as failed
     // although this batch is sent on a new connection.
-    Report({peer_.id});
+    ReportFailed({peer_.id});
     Disconnect();
     if (batch.empty()) return;
   }
@@ -220,7 +224,7 @@
   Disconnect();
   {
     const std::lock_guard lock(mutex_);
-    refuse_until_ = SteadyNow() + limits_.retry_after;
+    reject_until_ = SteadyNow() + limits_.reconnect_backoff;
     for (auto* queue : {&traffic_, &control_}) {
       std::move(queue->begin(), queue->end(), std::back_inserter(batch));
       queue->clear();
@@ -231,10 +235,10 @@
   for (const auto& it : batch) {
     if (!it.to.id.empty()) failed.insert(it.to.id);
   }
-  Report(failed);
+  ReportFailed(failed);
 }
 
-void Link::Report(const std::set<InstanceId>& peers) {
+void Link::ReportFailed(const std::set<InstanceId>& peers) {
   for (const auto& it : peers) callbacks_->on_peer_failed(it);
 }
 
--- a/packages/inner/src/link.h
+++ b/packages/inner/src/link.h
@@ -32,11 +32,11 @@
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  enum class Offered { kQueued, kRefused, kEnded };
+  enum class EnqueueResult { kQueued, kRejected, kEnded };
 
   // Queues a message for the peer. kRejected: the queue is full, or the last
   // connect has just failed. kEnded: the link's thread has ended.
-  Offered Offer(const membership::Peer& to, Message message);
+  EnqueueResult Enqueue(const membership::Peer& to, Message message);
 
   bool ended() const { return ended_; }
   // Tells the thread to end; the destructor joins it.
@@ -56,13 +56,13 @@
   void TakeBatch(Items* batch);
   void Deliver(Items batch);
   bool Connect();
-  bool SayHello(int fd);
+  bool SendHello(int fd);
   void Disconnect();
   // Removes messages for a process other than the connected one.
   void DropMisaddressed(Items* batch);
   void FailAll(Items batch);
-  void Report(const std::set<InstanceId>& peers);
-  void NoteHangup();
+  void ReportFailed(const std::set<InstanceId>& peers);
+  void RecordHangup();
 
   const Address address_;
   const MeshLimits& limits_;
@@ -82,7 +82,7 @@
   std::condition_variable wake_;
   std::deque<Item> traffic_;
   std::deque<Item> control_;
-  Millis refuse_until_{0};
+  Millis reject_until_{0};
   bool hung_up_ = false;
   bool stopping_ = false;
   std::atomic<bool> ended_{false};
--- a/packages/inner/src/listener.cc
+++ b/packages/inner/src/listener.cc
@@ -59,12 +59,13 @@
 }  // namespace
 
 // Called by Thrift once the socket is listening.
-class Listener::Starter : public apache::thrift::server::TServerEventHandler {
+class Listener::ListenHandler
+    : public apache::thrift::server::TServerEventHandler {
  public:
-  Starter(Listener* listener, std::shared_ptr<TServerSocket> socket)
+  ListenHandler(Listener* listener, std::shared_ptr<TServerSocket> socket)
       : listener_(listener), socket_(std::move(socket)) {}
 
-  void preServe() override { listener_->NoteListening(socket_->getPort()); }
+  void preServe() override { listener_->OnListening(socket_->getPort()); }
 
  private:
   Listener* const listener_;
@@ -79,7 +80,8 @@
       counters_(counters),
       callbacks_(callbacks),
       on_hello_(std::move(on_hello)),
-      strangers_(limits.max_strangers, limits.hello_timeout) {}
+      pending_connections_(limits.max_pending_connections,
+                           limits.hello_timeout) {}
 
 Listener::~Listener() { Stop(); }
 
@@ -88,7 +90,7 @@
   socket->setRecvTimeout(ToInt(limits_.hello_timeout));
   socket->setSendTimeout(ToInt(limits_.write_timeout));
   const Session::Context context{&limits_,   identity_,  counters_,
-                                 callbacks_, &on_hello_, &strangers_};
+                                 callbacks_, &on_hello_, &pending_connections_};
   server_ = std::make_shared<apache::thrift::server::TThreadedServer>(
       std::make_shared<SessionFactory>(context), socket,
       std::make_shared<FramedFactory>(
@@ -97,7 +99,7 @@
       MakeProtocolFactory(limits_.max_frame));
   server_->setConcurrentClientLimit(
       static_cast<int64_t>(limits_.max_connections));
-  server_->setServerEventHandler(std::make_shared<Starter>(this, socket));
+  server_->setServerEventHandler(std::make_shared<ListenHandler>(this, socket));
   thread_ = std::thread([this] { Serve(); });
   std::unique_lock lock(mutex_);
   started_.wait(lock, [this] { return port_ != 0 || !failure_.empty(); });
@@ -109,19 +111,19 @@
   try {
     server_->serve();
   } catch (const std::exception& ex) {
-    NoteFailed(ex.what());
+    OnFailed(ex.what());
   }
 }
 
-void Listener::NoteListening(int port) {
+void Listener::OnListening(int port) {
   const std::lock_guard lock(mutex_);
   port_ = port;
   started_.notify_all();
 }
 
-void Listener::NoteFailed(const std::string& why) {
+void Listener::OnFailed(const std::string& reason) {
   const std::lock_guard lock(mutex_);
-  failure_ = why.empty() ? "unknown" : why;
+  failure_ = reason.empty() ? "unknown" : reason;
   started_.notify_all();
 }
 
--- a/packages/inner/src/listener.h
+++ b/packages/inner/src/listener.h
@@ -14,7 +14,7 @@
 #include "hibiscuspick/base/result.h"
 #include "hibiscuspick/inner/peer_mesh.h"
 #include "identity.h"
-#include "strangers.h"
+#include "pending_connections.h"
 
 namespace hibiscuspick::inner {
 
@@ -33,18 +33,18 @@
   void Stop();
 
  private:
-  class Starter;
+  class ListenHandler;
 
   void Serve();
-  void NoteListening(int port);
-  void NoteFailed(const std::string& why);
+  void OnListening(int port);
+  void OnFailed(const std::string& reason);
 
   const MeshLimits limits_;
   Identity* const identity_;
   Counters* const counters_;
   const MeshCallbacks* const callbacks_;
   const OnHello on_hello_;
-  Strangers strangers_;
+  PendingConnections pending_connections_;
   std::shared_ptr<apache::thrift::server::TThreadedServer> server_;
   std::thread thread_;
 
--- a/packages/inner/src/peer_mesh.cc
+++ b/packages/inner/src/peer_mesh.cc
@@ -28,10 +28,11 @@
       : limits_(settings.limits),
         listen_(std::move(settings.listen)),
         callbacks_(std::move(callbacks)),
-        listener_(
-            limits_, &identity_, &counters_, &callbacks_,
-            [this](const InstanceId& id, Incarnation life,
-                   const Address& address) { Learn(id, life, address); }) {
+        listener_(limits_, &identity_, &counters_, &callbacks_,
+                  [this](const InstanceId& id, Incarnation incarnation,
+                         const Address& address) {
+                    LearnAddress(id, incarnation, address);
+                  }) {
     identity_.self = std::move(settings.self);
     identity_.data_centre = std::move(settings.data_centre);
     identity_.key = std::move(settings.key);
@@ -68,12 +69,12 @@
     peers_.clear();
     for (const auto& it : peers) peers_[it.id] = it;
     // A current member's address needs no hello; the rest is bounded.
-    std::erase_if(learnt_, [&](const auto& it) {
+    std::erase_if(learned_, [&](const auto& it) {
       const auto known = peers_.find(it.first);
       return known != peers_.end() &&
              known->second.incarnation >= it.second.incarnation;
     });
-    if (learnt_.size() > kMostLearnt) learnt_.clear();
+    if (learned_.size() > kMaxLearned) learned_.clear();
     ReapEnded(&ended);
   }
 
@@ -91,12 +92,12 @@
     if (peer.address.port == 0) return false;
     auto& link = links_[peer.address];
     if (!link) link = MakeLink(peer.address);
-    auto offered = link->Offer(peer, message);
-    if (offered == Link::Offered::kEnded) {
+    auto result = link->Enqueue(peer, message);
+    if (result == Link::EnqueueResult::kEnded) {
       ended.push_back(std::exchange(link, MakeLink(peer.address)));
-      offered = link->Offer(peer, std::move(message));
+      result = link->Enqueue(peer, std::move(message));
     }
-    if (offered == Link::Offered::kQueued) return true;
+    if (result == Link::EnqueueResult::kQueued) return true;
     ++counters_.messages_dropped;
     return false;
   }
@@ -113,21 +114,21 @@
     result.frames_sent = counters_.frames_sent;
     result.messages_received = counters_.messages_received;
     result.messages_dropped = counters_.messages_dropped;
-    result.refused_connections = counters_.refused_connections;
+    result.rejected_connections = counters_.rejected_connections;
     result.bytes_sent = counters_.bytes_sent;
     result.bytes_received = counters_.bytes_received;
     return result;
   }
 
  private:
-  static constexpr size_t kMostLearnt = 4096;
+  static constexpr size_t kMaxLearned = 4096;
 
   // The address of the peer's latest known incarnation: from the member list,
   // or from a hello of a later incarnation.
   membership::Peer Resolve(const membership::Peer& to) const {
     if (to.address.port != 0 || to.id.empty()) return to;
     auto latest = to;
-    for (const auto* known : {&peers_, &learnt_}) {
+    for (const auto* known : {&peers_, &learned_}) {
       const auto it = known->find(to.id);
       if (it == known->end()) continue;
       const bool later = it->second.incarnation > latest.incarnation;
@@ -136,11 +137,12 @@
     return latest;
   }
 
-  void Learn(const InstanceId& id, Incarnation life, const Address& address) {
+  void LearnAddress(const InstanceId& id, Incarnation incarnation,
+                    const Address& address) {
     const std::lock_guard lock(mutex_);
-    auto& known = learnt_[id];
-    if (life < known.incarnation) return;
-    known = {id, address, life};
+    auto& known = learned_[id];
+    if (incarnation < known.incarnation) return;
+    known = {id, address, incarnation};
   }
 
   std::unique_ptr<Link> MakeLink(const Address& address) {
@@ -169,7 +171,7 @@
 
   std::mutex mutex_;
   std::map<InstanceId, membership::Peer> peers_;
-  std::map<InstanceId, membership::Peer> learnt_;
+  std::map<InstanceId, membership::Peer> learned_;
   std::map<Address, std::unique_ptr<Link>> links_;
   bool running_ = false;
 };
--- a/packages/inner/src/strangers.h
+++ b/packages/inner/src/pending_connections.h
@@ -14,16 +14,16 @@
 // Limits their number and their lifetime. A client that sends a byte now and
 // then never triggers the timeout of a single read; without this limit, a few
 // thousand such connections would use up the threads that peers need.
-class Strangers {
+class PendingConnections {
  public:
-  Strangers(size_t most, Millis longest);
+  PendingConnections(size_t max_count, Millis max_age);
 
   // Adds a new connection, and closes those that have exceeded their time, or
   // this one if there are too many. Returns a number for Remove.
-  uint64_t Enter(int fd);
+  uint64_t Add(int fd);
 
   // Called after a valid hello, or when the connection ends.
-  void Leave(uint64_t number);
+  void Remove(uint64_t number);
 
  private:
   struct Entry {
@@ -31,8 +31,8 @@
     Millis since;
   };
 
-  const size_t most_;
-  const Millis longest_;
+  const size_t max_count_;
+  const Millis max_age_;
   std::mutex mutex_;
   std::map<uint64_t, Entry> entries_;
   uint64_t next_ = 1;
--- a/packages/inner/src/session.cc
+++ b/packages/inner/src/session.cc
@@ -17,43 +17,43 @@
 Session::Session(const Context& context,
                  std::shared_ptr<apache::thrift::transport::TSocket> socket)
     : context_(context), socket_(std::move(socket)) {
-  stranger_ = context_.strangers->Enter(socket_->getSocketFD());
+  pending_number_ = context_.pending_connections->Add(socket_->getSocketFD());
 }
 
-Session::~Session() { context_.strangers->Leave(stranger_); }
+Session::~Session() { context_.pending_connections->Remove(pending_number_); }
 
-Code Session::Judge(const wire::Hello& hello) const {
-  if (!SameKey(hello.key, context_.identity->key)) return Code::kPeerRefused;
-  if (hello.protocol_version < kOldestProtocolVersion) {
+Code Session::CheckHello(const wire::Hello& hello) const {
+  if (!KeysEqual(hello.key, context_.identity->key)) return Code::kPeerRefused;
+  if (hello.protocol_version < kMinProtocolVersion) {
     return Code::kPeerVersion;
   }
   // The instance's own address in a seed list, or a second process with its id.
-  const bool named =
+  const bool is_other_instance =
       !hello.instance.empty() && hello.instance != context_.identity->self.text;
-  return named ? Code::kOk : Code::kPeerRefused;
+  return is_other_instance ? Code::kOk : Code::kPeerRefused;
 }
 
-void Session::Admit(const wire::Hello& hello) {
-  admitted_ = true;
+void Session::Accept(const wire::Hello& hello) {
+  accepted_ = true;
   peer_ = InstanceId(hello.instance);
-  context_.strangers->Leave(stranger_);
+  context_.pending_connections->Remove(pending_number_);
   socket_->setRecvTimeout(ToInt(context_.limits->idle_timeout));
   const auto address = ParseAddress(hello.inner_address);
   if (IsOk(address)) {
-    const auto life = static_cast<uint64_t>(hello.incarnation);
-    (*context_.on_hello)(peer_, Incarnation(life), ValueOf(address));
+    const auto incarnation = static_cast<uint64_t>(hello.incarnation);
+    (*context_.on_hello)(peer_, Incarnation(incarnation), ValueOf(address));
   }
 }
 
-void Session::Refuse(const wire::Hello& hello, Code code) {
-  ++context_.counters->refused_connections;
+void Session::Reject(const wire::Hello& hello, Code code) {
+  ++context_.counters->rejected_connections;
   // An instance that finds its own address among the seeds is not reported. A
   // second process with this id has another incarnation, and the operator
   // should know of it.
   const auto own = static_cast<int64_t>(context_.identity->incarnation.load());
-  const bool itself = hello.instance == context_.identity->self.text &&
-                      hello.incarnation == own;
-  if (itself) return;
+  const bool is_self = hello.instance == context_.identity->self.text &&
+                       hello.incarnation == own;
+  if (is_self) return;
   Log(Part::kMembers)
       .warn(
           "Incoming connection rejected: {} (its protocol version {}, ours "
@@ -62,14 +62,14 @@
 }
 
 void Session::hello(wire::HelloReply& reply, const wire::Hello& hello) {
-  const Code code = Judge(hello);
+  const Code code = CheckHello(hello);
   reply.accepted = code == Code::kOk;
   reply.code = static_cast<int32_t>(code);
   reply.protocol_version = kProtocolVersion;
   if (code == Code::kOk) {
-    Admit(hello);
+    Accept(hello);
   } else {
-    Refuse(hello, code);
+    Reject(hello, code);
   }
   // The instance's identity is revealed only to peers with the right key.
   if (code == Code::kPeerRefused) return;
@@ -78,8 +78,8 @@
 }
 
 void Session::deliver(const std::vector<wire::Message>& messages) {
-  if (!admitted_) {
-    ++context_.counters->refused_connections;
+  if (!accepted_) {
+    ++context_.counters->rejected_connections;
     ::shutdown(socket_->getSocketFD(), SHUT_RDWR);
     return;
   }
--- a/packages/inner/src/session.h
+++ b/packages/inner/src/session.h
@@ -9,7 +9,7 @@
 #include "Inner.h"
 #include "identity.h"
 #include "listener.h"
-#include "strangers.h"
+#include "pending_connections.h"
 
 namespace hibiscuspick::inner {
 
@@ -23,7 +23,7 @@
     Counters* counters;
     const MeshCallbacks* callbacks;
     const Listener::OnHello* on_hello;
-    Strangers* strangers;
+    PendingConnections* pending_connections;
   };
 
   Session(const Context& context,
@@ -36,14 +36,14 @@
   void deliver(const std::vector<wire::Message>& messages) override;
 
  private:
-  Code Judge(const wire::Hello& hello) const;
-  void Admit(const wire::Hello& hello);
-  void Refuse(const wire::Hello& hello, Code code);
+  Code CheckHello(const wire::Hello& hello) const;
+  void Accept(const wire::Hello& hello);
+  void Reject(const wire::Hello& hello, Code code);
 
   const Context context_;
   const std::shared_ptr<apache::thrift::transport::TSocket> socket_;
-  uint64_t stranger_ = 0;
-  bool admitted_ = false;
+  uint64_t pending_number_ = 0;
+  bool accepted_ = false;
   InstanceId peer_;
 };
 
--- a/packages/inner/tests/fuzz_test.cc
+++ b/packages/inner/tests/fuzz_test.cc
@@ -151,7 +151,7 @@
 // on it would lose its queries, and gossip would carry the same frame to the
 // next one. One that forwarded something other than it decoded would spread a
 // state that no instance has.
-BOOST_DATA_TEST_CASE(damaged_frames_are_refused_or_passed_on_unchanged,
+BOOST_DATA_TEST_CASE(damaged_frames_are_rejected_or_forwarded_unchanged,
                      data::make(kRows), row) {
   Random random(4);
   const std::string good = Encode(ToWire(row.message));
--- a/packages/inner/tests/mesh_test.cc
+++ b/packages/inner/tests/mesh_test.cc
@@ -74,26 +74,26 @@
   BOOST_TEST(a.mesh.counts().frames_sent <= kCount);
 }
 
-BOOST_AUTO_TEST_CASE(an_unknown_instance_is_not_sent_to) {
+BOOST_AUTO_TEST_CASE(sending_to_an_unknown_instance_fails) {
   Node a("a");
   BOOST_TEST(!a.mesh.Send(InstanceId("nobody"), MakePart(1)));
 }
 
 // An instance is started with a key from an old settings file. Its peers must
 // reject its messages, and it must learn that they are lost.
-BOOST_AUTO_TEST_CASE(a_peer_with_another_key_is_refused) {
+BOOST_AUTO_TEST_CASE(a_peer_with_another_key_is_rejected) {
   Node a("a", 1, {}, 0, "old secret");
   Node b("b");
   BOOST_TEST(a.mesh.Send(b.peer(), MakePart(1)));
   BOOST_TEST(a.inbox.WaitFailure(b.id));
   BOOST_TEST(b.inbox.messages().empty());
-  BOOST_TEST(b.mesh.counts().refused_connections == 1U);
+  BOOST_TEST(b.mesh.counts().rejected_connections == 1U);
 }
 
 // An instance crashes and a new one starts at the same address. Work for the
 // previous incarnation reaches the new one, which doesn't know it; the caller
 // would wait for the deadline.
-BOOST_AUTO_TEST_CASE(work_for_a_former_life_is_not_delivered) {
+BOOST_AUTO_TEST_CASE(work_for_a_previous_incarnation_is_not_delivered) {
   Node a("a");
   Node b("b", 2);
   BOOST_TEST(a.mesh.Send(b.peer(1), MakePart(1)));
@@ -118,7 +118,7 @@
 
 // A peer dies while it works on a part and no message is being sent to it. The
 // origin must be notified at once, not with its next message.
-BOOST_AUTO_TEST_CASE(the_death_of_an_idle_peer_is_noticed) {
+BOOST_AUTO_TEST_CASE(the_death_of_an_idle_peer_is_detected) {
   Node a("a");
   auto b = std::make_unique<Node>("b");
   BOOST_TEST(a.mesh.Send(b->peer(), MakePart(1)));
@@ -127,7 +127,7 @@
   BOOST_TEST(a.inbox.WaitFailure(b->id));
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_is_not_there_is_reported) {
+BOOST_AUTO_TEST_CASE(an_unreachable_peer_is_reported) {
   Node a("a");
   auto b = std::make_unique<Node>("b");
   const auto peer = b->peer();
@@ -136,7 +136,7 @@
   BOOST_TEST(a.inbox.WaitFailure(peer.id));
 }
 
-BOOST_AUTO_TEST_CASE(a_message_over_the_frame_limit_is_not_taken) {
+BOOST_AUTO_TEST_CASE(a_message_over_the_frame_limit_is_rejected) {
   Node a("a");
   Node b("b");
   auto part = MakePart(1);
--- a/packages/inner/tests/overload_test.cc
+++ b/packages/inner/tests/overload_test.cc
@@ -25,9 +25,9 @@
 namespace {
 
 // Accepts connections in the kernel and never reads.
-class DeafListener {
+class UnresponsiveListener {
  public:
-  DeafListener() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
+  UnresponsiveListener() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in name{};
     name.sin_family = AF_INET;
     name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -37,9 +37,9 @@
     ::getsockname(fd_, reinterpret_cast<sockaddr*>(&name), &size);
     address_ = {"127.0.0.1", ntohs(name.sin_port)};
   }
-  ~DeafListener() { ::close(fd_); }
-  DeafListener(const DeafListener&) = delete;
-  DeafListener& operator=(const DeafListener&) = delete;
+  ~UnresponsiveListener() { ::close(fd_); }
+  UnresponsiveListener(const UnresponsiveListener&) = delete;
+  UnresponsiveListener& operator=(const UnresponsiveListener&) = delete;
   const Address& address() const { return address_; }
 
  private:
@@ -52,9 +52,9 @@
 // A peer's process is stopped: its kernel accepts connections, but nobody
 // reads. The sender gives up after the timeout, and messages to other peers are
 // not delayed.
-BOOST_AUTO_TEST_CASE(a_peer_that_does_not_read_holds_up_nobody_else) {
-  const DeafListener deaf;
-  const Peer peer{InstanceId("deaf"), deaf.address(), {}};
+BOOST_AUTO_TEST_CASE(an_unresponsive_peer_does_not_delay_others) {
+  const UnresponsiveListener listener;
+  const Peer peer{InstanceId("deaf"), listener.address(), {}};
   Node a("a");
   Node b("b");
   BOOST_TEST(a.mesh.Send(peer, MakePart(1)));
@@ -65,12 +65,12 @@
 
 // More and more messages are sent to the same kind of peer: memory stays
 // bounded, and the sender is notified.
-BOOST_AUTO_TEST_CASE(a_full_queue_refuses) {
-  const DeafListener deaf;
-  const Peer peer{InstanceId("deaf"), deaf.address(), {}};
+BOOST_AUTO_TEST_CASE(a_full_queue_rejects_messages) {
+  const UnresponsiveListener listener;
+  const Peer peer{InstanceId("deaf"), listener.address(), {}};
   MeshLimits limits;
-  limits.queued_traffic = 4;
-  limits.queued_control = 2;
+  limits.max_queued_traffic = 4;
+  limits.max_queued_control = 2;
   limits.connect_timeout = Millis(2000);
   Node a("a", 1, limits);
   int control = 0;
@@ -104,7 +104,7 @@
 
 // The time spent in the queue is subtracted from a part's time left; otherwise
 // the owner would keep working for a caller that has been answered.
-BOOST_AUTO_TEST_CASE(a_part_loses_the_time_that_it_waited) {
+BOOST_AUTO_TEST_CASE(queueing_time_is_subtracted_from_time_left) {
   const auto sent =
       hibiscuspick::inner::ToWire(Message(MakePart(1)), Millis(50));
   BOOST_TEST(sent.part.time_left_ms == 150);
--- a/packages/inner/tests/stranger_test.cc
+++ b/packages/inner/tests/untrusted_client_test.cc
@@ -123,8 +123,8 @@
 
 // A port scanner, a misdirected client or a faulty peer connects to the inner
 // port. Its connection must be closed without affecting any other traffic.
-BOOST_DATA_TEST_CASE(bad_bytes_end_only_their_connection, data::make(kBadBytes),
-                     it) {
+BOOST_DATA_TEST_CASE(invalid_bytes_close_only_their_connection,
+                     data::make(kBadBytes), it) {
   Node node("b");
   RawClient client(node.mesh.address());
   BOOST_REQUIRE(client.connected());
@@ -163,7 +163,7 @@
 
 // During an upgrade a newer instance sends kinds and fields that an older one
 // does not know. The older one must still receive those that it knows.
-BOOST_AUTO_TEST_CASE(unknown_kinds_and_fields_are_passed_over) {
+BOOST_AUTO_TEST_CASE(unknown_kinds_and_fields_are_ignored) {
   Node node("b");
   RawClient client(node.mesh.address());
   client.Send(HelloFrame(GoodHello()));
@@ -179,14 +179,14 @@
 
 // A client opens connections and sends nothing, or a byte now and then. Peers
 // must still be accepted, and the client's connections must be closed.
-BOOST_AUTO_TEST_CASE(strangers_do_not_keep_peers_out) {
-  constexpr size_t kStrangers = 4;
+BOOST_AUTO_TEST_CASE(pending_connections_do_not_block_peers) {
+  constexpr size_t kConnections = 4;
   MeshLimits limits;
-  limits.max_strangers = kStrangers;
+  limits.max_pending_connections = kConnections;
   limits.hello_timeout = Millis(200);
   Node node("b", 1, limits);
   std::vector<std::unique_ptr<RawClient>> clients;
-  for (size_t i = 0; i < kStrangers; ++i) {
+  for (size_t i = 0; i < kConnections; ++i) {
     clients.push_back(std::make_unique<RawClient>(node.mesh.address()));
     clients.back()->Send(std::string(1, '\0'));
   }
@@ -196,16 +196,16 @@
   BOOST_TEST(node.inbox.WaitMessages(1));
 }
 
-BOOST_AUTO_TEST_CASE(a_stranger_too_many_is_cut_off) {
+BOOST_AUTO_TEST_CASE(an_excess_pending_connection_is_closed) {
   MeshLimits limits;
-  limits.max_strangers = 0;
+  limits.max_pending_connections = 0;
   Node node("b", 1, limits);
   RawClient client(node.mesh.address());
   BOOST_TEST(client.IsClosed());
 }
 
 // A settings file lists the instance's own address among the seeds.
-BOOST_AUTO_TEST_CASE(an_instance_does_not_talk_to_itself) {
+BOOST_AUTO_TEST_CASE(an_instance_does_not_connect_to_itself) {
   Node node("b");
   BOOST_TEST(node.mesh.Send(node.peer(), MakePart(1)));
   BOOST_TEST(node.inbox.WaitFailure(node.id));
--- a/packages/inner/tests/wire_test.cc
+++ b/packages/inner/tests/wire_test.cc
@@ -84,7 +84,7 @@
 struct SizeCase {
   std::string name;
   Message message;
-  size_t most;
+  size_t max;
 };
 std::ostream& operator<<(std::ostream& out, const SizeCase& it) {
   return out << it.name;
@@ -100,10 +100,10 @@
 }  // namespace
 
 BOOST_DATA_TEST_CASE(control_messages_stay_small, data::make(kSizes), it) {
-  BOOST_TEST(WireSize(it.message) <= it.most);
+  BOOST_TEST(WireSize(it.message) <= it.max);
 }
 
-BOOST_AUTO_TEST_CASE(gossip_is_the_same_on_the_other_side) {
+BOOST_AUTO_TEST_CASE(gossip_survives_a_round_trip) {
   const auto digest = Across(MakeDigest());
   const auto sent = MakeDigest();
   BOOST_TEST((digest.sender == sent.sender));
@@ -129,7 +129,7 @@
   BOOST_TEST((config.objects == delta.objects));
 }
 
-BOOST_AUTO_TEST_CASE(work_is_the_same_on_the_other_side) {
+BOOST_AUTO_TEST_CASE(work_survives_a_round_trip) {
   const auto sent = MakePart(5);
   const auto part = Across(sent);
   BOOST_TEST((part.origin == sent.origin));
@@ -158,7 +158,7 @@
 
 // An outcome comes from a version that has dropped the field, or is damaged.
 // "Not run" is a guarantee to the caller and must never result from a default.
-BOOST_AUTO_TEST_CASE(what_does_not_say_that_it_did_not_run_may_have_run) {
+BOOST_AUTO_TEST_CASE(an_outcome_without_not_run_may_have_run) {
   wire::PartOutcomes outcomes;
   outcomes.outcomes.emplace_back();
   wire::Message message;
@@ -169,7 +169,7 @@
       (std::get<PartOutcomes>(*result).outcomes.at(0).ran == Ran::kMaybe));
 }
 
-BOOST_AUTO_TEST_CASE(values_of_a_later_version_do_no_harm) {
+BOOST_AUTO_TEST_CASE(values_of_a_later_version_are_tolerated) {
   auto part = ToWire(Message(MakePart(1)));
   part.part.lane = 9;
   BOOST_TEST((std::get<PartRequest>(*FromWire(part)).lane == Lane::kBulk));
--- a/packages/membership/src/config_gossip.cc
+++ b/packages/membership/src/config_gossip.cc
@@ -53,7 +53,7 @@
   return delta;
 }
 
-void ReportApplied(StepContext* context, settings::Applied applied) {
+void ReportApplied(StepContext* context, settings::ApplyResult applied) {
   for (auto& it : applied.alarms) {
     context->actions.push_back(Alarm{std::move(it)});
   }
--- a/packages/membership/src/control_core.cc
+++ b/packages/membership/src/control_core.cc
@@ -225,7 +225,7 @@
   return std::move(context.actions);
 }
 
-bool IsConfigured(const ControlState& state) { return state.config.known; }
+bool IsConfigured(const ControlState& state) { return state.config.loaded; }
 
 bool IsWatcher(const ControlState& state) {
   std::vector<InstanceId> ids;
--- a/packages/operators/include/hibiscuspick/operators/api.h
+++ b/packages/operators/include/hibiscuspick/operators/api.h
@@ -58,14 +58,14 @@
   // Returns a new id that is unique among all instances.
   std::function<std::string()> make_write_id;
   // Sleeps for a short time between two attempts at the platform.
-  std::function<void()> pause;
+  std::function<void()> sleep_between_attempts;
 };
 
 // 128 random bits in hexadecimal.
 std::string MakeWriteId();
 
 // Sleeps for 50 to 150 ms.
-void PauseBetweenTries();
+void SleepBetweenAttempts();
 
 // Handles one request. Blocks for the duration of its platform calls.
 // Thread-safe.
--- a/packages/operators/src/api.cc
+++ b/packages/operators/src/api.cc
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <thread>
 
-#include "ask.h"
 #include "hibiscuspick/operators/bearer_token.h"
 #include "hibiscuspick/settings/envelope.h"
 #include "hibiscuspick/settings/json_reader.h"
 #include "hibiscuspick/settings/object_name.h"
 #include "reply.h"
 #include "write.h"
+#include "write_status.h"
 
 namespace hibiscuspick::operators {
 namespace {
@@ -104,7 +104,7 @@
 Reply HandleGet(const Ports& ports, const Request& request,
                 const ObjectName& name) {
   const auto configuration = ports.configuration();
-  if (!IsKnown(configuration.get())) return NotReadyReply();
+  if (!IsLoaded(configuration.get())) return NotReadyReply();
   if (name.kind == ObjectKind::kSettings && WantsEffective(request)) {
     return EffectiveReply(ports, *configuration, request, name);
   }
@@ -113,7 +113,7 @@
 
 Reply HandleList(const Ports& ports, ObjectKind kind) {
   const auto configuration = ports.configuration();
-  if (!IsKnown(configuration.get())) return NotReadyReply();
+  if (!IsLoaded(configuration.get())) return NotReadyReply();
   return ListReply(*configuration, kind);
 }
 
@@ -122,7 +122,7 @@
   if (request.method == "GET") return HandleGet(ports, request, name);
   if (request.method == "PUT") return HandlePut(ports, request, name);
   if (request.method == "DELETE") return HandleDelete(ports, request, name);
-  return ErrorReply(kStatusNotAllowed, Code::kMalformedRequest,
+  return ErrorReply(kStatusMethodNotAllowed, Code::kMalformedRequest,
                     "this method is not supported for this path");
 }
 
@@ -136,7 +136,7 @@
   if (!path.starts_with(kWrites)) return std::nullopt;
   const auto name = settings::ParseObjectName(path.substr(kWrites.size()));
   if (!name) return NotFoundReply();
-  return HandleAsk(ports, request, *name);
+  return HandleWriteStatus(ports, request, *name);
 }
 
 }  // namespace
@@ -153,12 +153,12 @@
   return text;
 }
 
-void PauseBetweenTries() {
-  constexpr unsigned kLeastMillis = 50;
-  constexpr unsigned kSpanMillis = 100;
+void SleepBetweenAttempts() {
+  constexpr unsigned kMinMillis = 50;
+  constexpr unsigned kRangeMillis = 100;
   std::random_device device;
   std::this_thread::sleep_for(
-      std::chrono::milliseconds(kLeastMillis + device() % kSpanMillis));
+      std::chrono::milliseconds(kMinMillis + device() % kRangeMillis));
 }
 
 Reply Handle(const Ports& ports, const Request& request) {
--- a/packages/operators/src/present.h
+++ b/packages/operators/src/object_state.h
@@ -15,23 +15,23 @@
 
 // Without a version, the object has never existed. A version without an
 // envelope is a value that was not written by an instance.
-struct Present {
+struct ObjectState {
   std::optional<Revision> version;
   std::optional<settings::Envelope> envelope;
 
   bool exists() const { return version && !(envelope && envelope->deleted); }
 };
 
-Present PresentOf(const platform::StoredObject& object);
+ObjectState ObjectStateOf(const platform::StoredObject& object);
 
 // The state in this instance's configuration.
-Present InForce(const settings::Configuration& configuration,
-                const std::string& path);
+ObjectState LocalState(const settings::Configuration& configuration,
+                       const std::string& path);
 
 // The state on the platform. Errors: kPlatformUnavailable.
-Result<Present> ReadPresent(const platform::Calls& calls,
-                            const std::string& path);
+Result<ObjectState> ReadPlatformState(const platform::Calls& calls,
+                                      const std::string& path);
 
-bool Matches(const Precondition& precondition, const Present& present);
+bool Matches(const Precondition& precondition, const ObjectState& current);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/precondition.cc
+++ b/packages/operators/src/precondition.cc
@@ -20,7 +20,7 @@
   return Revision(number);
 }
 
-Error Refusal(std::string message) {
+Error MakeMalformedError(std::string message) {
   return {Code::kMalformedRequest, "", std::move(message)};
 }
 
@@ -31,21 +31,22 @@
   const bool match = !request.if_match.empty();
   const bool none_match = !request.if_none_match.empty();
   if (match && none_match) {
-    return Refusal("send either If-Match or If-None-Match, not both");
+    return MakeMalformedError(
+        "send either If-Match or If-None-Match, not both");
   }
   if (none_match) {
     if (request.if_none_match == "*") return Precondition{};
-    return Refusal("If-None-Match must be *");
+    return MakeMalformedError("If-None-Match must be *");
   }
   if (match) {
     const auto version = ParseVersion(request.if_match);
-    if (!version) return Refusal("If-Match must be a version");
+    if (!version) return MakeMalformedError("If-Match must be a version");
     return Precondition{PreconditionKind::kVersion, *version};
   }
   if (kind == settings::ObjectKind::kDrain) {
     return Precondition{PreconditionKind::kAny, {}};
   }
-  return Refusal(
+  return MakeMalformedError(
       "a write requires If-Match with the version that it replaces, or "
       "If-None-Match: * for a new object");
 }
--- a/packages/operators/src/reply.cc
+++ b/packages/operators/src/reply.cc
@@ -20,8 +20,8 @@
   return list;
 }
 
-bool IsKnown(const settings::Configuration* configuration) {
-  return configuration && configuration->known;
+bool IsLoaded(const settings::Configuration* configuration) {
+  return configuration && configuration->loaded;
 }
 
 Reply NotReadyReply() {
--- a/packages/operators/src/server.cc
+++ b/packages/operators/src/server.cc
@@ -39,7 +39,7 @@
 
 // The HTTP library's own rejections (a body over the limit, an invalid header)
 // get the same kind of body as all other errors.
-void FillError(httplib::Response* response) {
+void AddErrorBody(httplib::Response* response) {
   if (!response->body.empty()) return;
   const int status = response->status;
   const Code code = status == kStatusTooLarge ? Code::kRequestTooLarge
@@ -62,7 +62,7 @@
   server->Delete(kAnyPath, handler);
   server->set_error_handler(
       [](const httplib::Request&, httplib::Response& response) {
-        FillError(&response);
+        AddErrorBody(&response);
       });
 }
 
--- a/packages/operators/src/write.cc
+++ b/packages/operators/src/write.cc
@@ -5,15 +5,15 @@
 #include <utility>
 #include <vector>
 
-#include "drain_spread.h"
+#include "drain_announcement.h"
 #include "hibiscuspick/base/hash.h"
 #include "hibiscuspick/base/log.h"
 #include "hibiscuspick/platform/accept_write.h"
 #include "hibiscuspick/settings/cross_check.h"
 #include "hibiscuspick/settings/envelope.h"
 #include "hibiscuspick/settings/json_reader.h"
+#include "object_state.h"
 #include "precondition.h"
-#include "present.h"
 #include "reply.h"
 #include "write_reply.h"
 
@@ -30,7 +30,7 @@
 
 // The maximum number of attempts of a drain without a precondition when it
 // conflicts with other writes.
-constexpr int kMostRounds = 3;
+constexpr int kMaxAttempts = 3;
 
 // An operator's own id is bound to the value and the precondition, so that an
 // id reused by mistake never matches another write.
@@ -53,12 +53,12 @@
 
 // A version that is not above the newest revision in force comes from a counter
 // that was reset; other instances would reject it.
-bool WentBack(const Write& write, Revision version) {
+bool IsVersionRegression(const Write& write, Revision version) {
   return version <= write.configuration->newest;
 }
 
-Reply Conclude(const Write& write, const Json& stored,
-               const WriteState& state) {
+Reply FinishWrite(const Write& write, const Json& stored,
+                  const WriteState& state) {
   switch (state.outcome) {
     case WriteOutcome::kNotApplied:
       return NotAcceptedReply(write, "");
@@ -68,18 +68,18 @@
                 write.path);
       return UnknownReply(write, state.expected);
     case WriteOutcome::kConflict:
-      if (state.current) return ConflictReply(PresentOf(*state.current));
-      return state.absent ? ConflictReply({}) : UnreadConflictReply();
+      if (state.current) return ConflictReply(ObjectStateOf(*state.current));
+      return state.absent ? ConflictReply({}) : ConflictReplyWithoutState();
     case WriteOutcome::kAccepted:
       break;
   }
-  if (WentBack(write, state.version)) {
+  if (IsVersionRegression(write, state.version)) {
     Log(Part::kConfig)
         .error(
             "The platform assigned {} version {}, which is not above the "
             "newest revision in force.",
             write.path, state.version.value);
-    return WentBackReply(write, state.version);
+    return VersionRegressionReply(write, state.version);
   }
   Log(Part::kConfig)
       .info("Write of {} accepted at version {}.", write.path,
@@ -90,19 +90,19 @@
 
 // Whether the platform has an older version of the object than the one in force
 // or doesn't have it any more, which only happens after a restore.
-bool PlatformIsOlder(const Write& write, const WriteState& state) {
+bool IsPlatformOlder(const Write& write, const WriteState& state) {
   if (state.outcome != WriteOutcome::kConflict) return false;
   if (!state.current) return state.absent;
-  return state.current->version <
-         InForce(*write.configuration, write.path).version.value_or(Revision());
+  return state.current->version < LocalState(*write.configuration, write.path)
+                                      .version.value_or(Revision());
 }
 
 // Replaces `current`. If a restored platform has an older version, replaces
 // that one in a second attempt: the operator named the version in force, so
 // nothing is overwritten unknowingly, and the platform's copy is repaired.
-Reply WriteOver(const Write& write, const Present& present) {
+Reply ReplaceObject(const Write& write, const ObjectState& current) {
   Envelope next = NextEnvelope(
-      present.envelope, present.version.value_or(Revision()), write.value,
+      current.envelope, current.version.value_or(Revision()), write.value,
       write.write_id, write.name.kind == ObjectKind::kSnapshot);
   if (!FitIntoLimit(&next)) {
     return ErrorReply(kStatusTooLarge, Code::kRequestTooLarge,
@@ -111,31 +111,31 @@
   const Json stored = ToJson(next);
   WriteState state;
   state.write_id = write.write_id;
-  state.expected = present.version;
-  state =
-      RunWrite(write.ports.calls, write.path, stored, state, write.ports.pause);
-  if (present.version && PlatformIsOlder(write, state)) {
-    WriteState again;
-    again.write_id = write.write_id;
-    if (state.current) again.expected = state.current->version;
-    state = RunWrite(write.ports.calls, write.path, stored, again,
-                     write.ports.pause);
+  state.expected = current.version;
+  state = RunWrite(write.ports.calls, write.path, stored, state,
+                   write.ports.sleep_between_attempts);
+  if (current.version && IsPlatformOlder(write, state)) {
+    WriteState retry;
+    retry.write_id = write.write_id;
+    if (state.current) retry.expected = state.current->version;
+    state = RunWrite(write.ports.calls, write.path, stored, retry,
+                     write.ports.sleep_between_attempts);
   }
-  return Conclude(write, stored, state);
+  return FinishWrite(write, stored, state);
 }
 
 // Validates the value against the other objects and the one that it replaces.
 // Returns a reply if the write is rejected.
-std::optional<Reply> Refuse(Write* write, const Present& present) {
+std::optional<Reply> ValidateWrite(Write* write, const ObjectState& current) {
   if (write->value.is_null()) {
-    if (!present.exists()) {
+    if (!current.exists()) {
       return ErrorReply(kStatusNotFound, Code::kNotFound);
     }
-    write->warnings = WarningsOfDeletion(*write->configuration, write->name);
+    write->warnings = DeletionWarnings(*write->configuration, write->name);
     return std::nullopt;
   }
   auto checked = CheckWrite(*write->configuration, write->name, write->value,
-                            present.envelope ? &*present.envelope : nullptr);
+                            current.envelope ? &*current.envelope : nullptr);
   if (!checked.faults.empty()) return FaultsReply(checked.faults);
   write->warnings = std::move(checked.warnings);
   return std::nullopt;
@@ -143,15 +143,15 @@
 
 // The version that the write produced if it took effect earlier: an operator
 // whose connection broke repeats it with the same id.
-std::optional<Revision> TakenEarlier(const Write& write,
-                                     const Present& present) {
-  if (!present.version || !present.envelope) return std::nullopt;
-  const StoredObject object{write.path, *present.version,
-                            ToJson(*present.envelope)};
-  const auto judged =
-      platform::ResolveWrite(&object, write.write_id, present.version);
-  if (judged.verdict != WriteVerdict::kApplied) return std::nullopt;
-  return judged.version;
+std::optional<Revision> FindEarlierAcceptance(const Write& write,
+                                              const ObjectState& current) {
+  if (!current.version || !current.envelope) return std::nullopt;
+  const StoredObject object{write.path, *current.version,
+                            ToJson(*current.envelope)};
+  const auto check =
+      platform::ResolveWrite(&object, write.write_id, current.version);
+  if (check.verdict != WriteVerdict::kApplied) return std::nullopt;
+  return check.version;
 }
 
 // The state that the write replaces. If the state in force matches the
@@ -159,40 +159,42 @@
 // verifies it. Otherwise the platform is asked. If a restored platform has an
 // older version than the one in force, the latter counts, or an operator who
 // knows only the old value would overwrite the new one unknowingly.
-Result<Present> FindPresent(const Write& write) {
-  const Present in_force = InForce(*write.configuration, write.path);
-  const bool lost_drain = write.precondition.kind == PreconditionKind::kAny &&
-                          write.value.is_null() && !in_force.exists();
-  if (Matches(write.precondition, in_force) && !lost_drain) return in_force;
-  auto stored = ReadPresent(write.ports.calls, write.path);
-  if (!IsOk(stored) || ValueOf(stored).version >= in_force.version) {
+Result<ObjectState> FindCurrentState(const Write& write) {
+  const ObjectState local = LocalState(*write.configuration, write.path);
+  const bool is_unknown_drain =
+      write.precondition.kind == PreconditionKind::kAny &&
+      write.value.is_null() && !local.exists();
+  if (Matches(write.precondition, local) && !is_unknown_drain) return local;
+  auto stored = ReadPlatformState(write.ports.calls, write.path);
+  if (!IsOk(stored) || ValueOf(stored).version >= local.version) {
     return stored;
   }
-  return in_force;
+  return local;
 }
 
-Reply RunRound(Write* write) {
-  const auto found = FindPresent(*write);
+Reply TryWrite(Write* write) {
+  const auto found = FindCurrentState(*write);
   if (!IsOk(found)) return NotAcceptedReply(*write, ErrorOf(found).message);
-  const Present& present = ValueOf(found);
-  if (const auto version = TakenEarlier(*write, present)) {
+  const ObjectState& current = ValueOf(found);
+  if (const auto version = FindEarlierAcceptance(*write, current)) {
     return AcceptedReply(*write, *version);
   }
-  if (!Matches(write->precondition, present)) return ConflictReply(present);
-  if (auto refused = Refuse(write, present)) return *refused;
-  return WriteOver(*write, present);
+  if (!Matches(write->precondition, current)) return ConflictReply(current);
+  if (auto rejection = ValidateWrite(write, current)) return *rejection;
+  return ReplaceObject(*write, current);
 }
 
 // A drain without a precondition is retried with the version that the conflict
 // reported.
-Reply RunRounds(Write* write) {
-  Reply reply = RunRound(write);
+Reply WriteWithRetries(Write* write) {
+  Reply reply = TryWrite(write);
   if (write->precondition.kind != PreconditionKind::kAny) return reply;
-  for (int i = 1; i < kMostRounds && reply.status == kStatusConflict; ++i) {
-    const auto found = ReadPresent(write->ports.calls, write->path);
+  for (int i = 1; i < kMaxAttempts && reply.status == kStatusConflict; ++i) {
+    const auto found = ReadPlatformState(write->ports.calls, write->path);
     if (!IsOk(found)) return NotAcceptedReply(*write, ErrorOf(found).message);
-    if (auto refused = Refuse(write, ValueOf(found))) return *refused;
-    reply = WriteOver(*write, ValueOf(found));
+    if (auto rejection = ValidateWrite(write, ValueOf(found)))
+      return *rejection;
+    reply = ReplaceObject(*write, ValueOf(found));
   }
   return reply;
 }
@@ -200,12 +202,12 @@
 // The current view; waits for it for a few seconds. An instance that has just
 // started gets its configuration from the platform or a peer very soon, so an
 // operator's script that writes immediately need not fail.
-std::shared_ptr<const settings::Configuration> WaitUntilKnown(
+std::shared_ptr<const settings::Configuration> WaitUntilLoaded(
     const Ports& ports) {
-  constexpr int kMostWaits = 50;
+  constexpr int kMaxWaits = 50;
   auto configuration = ports.configuration();
-  for (int i = 0; i < kMostWaits && !IsKnown(configuration.get()); ++i) {
-    ports.pause();
+  for (int i = 0; i < kMaxWaits && !IsLoaded(configuration.get()); ++i) {
+    ports.sleep_between_attempts();
     configuration = ports.configuration();
   }
   return configuration;
@@ -223,8 +225,8 @@
     return ErrorReply(kStatusBadRequest, Code::kMalformedRequest,
                       "X-Write-Id must be a valid name");
   }
-  auto configuration = WaitUntilKnown(ports);
-  if (!IsKnown(configuration.get())) return NotReadyReply();
+  auto configuration = WaitUntilLoaded(ports);
+  if (!IsLoaded(configuration.get())) return NotReadyReply();
   const std::string write_id = WriteIdOf(ports, request, value);
   Write write{ports,
               name,
@@ -235,9 +237,9 @@
               std::move(configuration),
               {}};
   const bool is_drain = name.kind == ObjectKind::kDrain;
-  if (is_drain) SpreadDrain(write);
-  Reply reply = RunRounds(&write);
-  if (is_drain) ConcludeDrain(write, &reply);
+  if (is_drain) AnnounceDrain(write);
+  Reply reply = WriteWithRetries(&write);
+  if (is_drain) FinishDrain(write, &reply);
   return reply;
 }
 
--- a/packages/operators/src/write_reply.cc
+++ b/packages/operators/src/write_reply.cc
@@ -4,22 +4,22 @@
 
 namespace hibiscuspick::operators {
 
-Reply UnreadConflictReply() {
+Reply ConflictReplyWithoutState() {
   return ErrorReply(kStatusConflict, Code::kVersionConflict,
                     "not accepted: the object was changed, and its current "
                     "value could not be read from the platform");
 }
 
-Reply ConflictReply(const Present& present) {
+Reply ConflictReply(const ObjectState& current) {
   Reply reply = ErrorReply(kStatusConflict, Code::kVersionConflict);
-  if (!present.version) {
+  if (!current.version) {
     reply.body["version"] = nullptr;
     reply.body["value"] = nullptr;
     return reply;
   }
-  reply.body["version"] = present.version->value;
-  reply.body["value"] = present.envelope ? present.envelope->value : Json();
-  if (present.envelope && present.envelope->deleted) {
+  reply.body["version"] = current.version->value;
+  reply.body["value"] = current.envelope ? current.envelope->value : Json();
+  if (current.envelope && current.envelope->deleted) {
     reply.body["deleted"] = true;
   }
   return reply;
@@ -34,7 +34,7 @@
 }
 
 Reply UnknownReply(const Write& write, std::optional<Revision> expected) {
-  Reply reply = ErrorReply(kStatusUnknown, Code::kAcceptanceUnknown);
+  Reply reply = ErrorReply(kStatusGatewayTimeout, Code::kAcceptanceUnknown);
   reply.body["write_id"] = write.write_id;
   reply.body["ask"] =
       "/v1/writes/" + write.path + "?write_id=" + write.write_id +
@@ -42,7 +42,7 @@
   return reply;
 }
 
-Reply WentBackReply(const Write& write, Revision version) {
+Reply VersionRegressionReply(const Write& write, Revision version) {
   Reply reply = ErrorReply(
       kStatusUnavailable, Code::kPlatformWentBack,
       "not accepted: the platform assigned version " +
--- a/packages/operators/src/write_reply.h
+++ b/packages/operators/src/write_reply.h
@@ -9,8 +9,8 @@
 #include "hibiscuspick/operators/api.h"
 #include "hibiscuspick/settings/faults.h"
 #include "hibiscuspick/settings/object_name.h"
+#include "object_state.h"
 #include "precondition.h"
-#include "present.h"
 
 namespace hibiscuspick::operators {
 
@@ -29,11 +29,11 @@
 
 Reply AcceptedReply(const Write& write, Revision version);
 
-Reply ConflictReply(const Present& present);
+Reply ConflictReply(const ObjectState& current);
 
 // The write conflicted, and the object that the platform has instead could not
 // be read.
-Reply UnreadConflictReply();
+Reply ConflictReplyWithoutState();
 
 Reply NotAcceptedReply(const Write& write, const std::string& message);
 
@@ -41,6 +41,6 @@
 Reply UnknownReply(const Write& write, std::optional<Revision> expected);
 
 // The platform stored the value under a version that other instances reject.
-Reply WentBackReply(const Write& write, Revision version);
+Reply VersionRegressionReply(const Write& write, Revision version);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/ask.cc
+++ b/packages/operators/src/write_status.cc
@@ -1,4 +1,4 @@
-#include "ask.h"
+#include "write_status.h"
 
 #include <charconv>
 #include <optional>
@@ -15,7 +15,7 @@
   return it == request.parameters.end() ? "" : it->second;
 }
 
-Reply AskReply(const std::string& outcome) {
+Reply OutcomeReply(const std::string& outcome) {
   return {kStatusOk, {{"outcome", outcome}}, ""};
 }
 
@@ -33,29 +33,29 @@
       "expected must be the version in the write's condition, or none"};
 }
 
-Reply JudgedReply(const platform::WriteResolution& judged) {
-  switch (judged.verdict) {
+Reply WriteStatusReply(const platform::WriteResolution& check) {
+  switch (check.verdict) {
     case platform::WriteVerdict::kApplied: {
-      Reply reply = AskReply("accepted");
-      reply.body["version"] = judged.version.value;
+      Reply reply = OutcomeReply("accepted");
+      reply.body["version"] = check.version.value;
       return reply;
     }
     case platform::WriteVerdict::kNotApplied:
-      return AskReply("not_accepted");
+      return OutcomeReply("not_accepted");
     case platform::WriteVerdict::kPending:
-      return AskReply("open");
+      return OutcomeReply("open");
     case platform::WriteVerdict::kUnknown:
       break;
   }
   return ErrorReply(
-      kStatusUnknown, Code::kAcceptanceUnknown,
+      kStatusGatewayTimeout, Code::kAcceptanceUnknown,
       "too many later writes have replaced the record of this write");
 }
 
 }  // namespace
 
-Reply HandleAsk(const Ports& ports, const Request& request,
-                const settings::ObjectName& name) {
+Reply HandleWriteStatus(const Ports& ports, const Request& request,
+                        const settings::ObjectName& name) {
   const std::string write_id = ParameterOf(request, "write_id");
   const auto expected = ReadExpected(ParameterOf(request, "expected"));
   if (write_id.empty() || !IsOk(expected)) {
@@ -68,8 +68,8 @@
   if (!found && ErrorOf(result).code != Code::kNotFound) {
     return ErrorReply(kStatusUnavailable, Code::kPlatformUnavailable);
   }
-  return JudgedReply(platform::ResolveWrite(found ? &ValueOf(result) : nullptr,
-                                            write_id, ValueOf(expected)));
+  return WriteStatusReply(platform::ResolveWrite(
+      found ? &ValueOf(result) : nullptr, write_id, ValueOf(expected)));
 }
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/src/ask.h
+++ b/packages/operators/src/write_status.h
@@ -8,7 +8,7 @@
 
 // GET /v1/writes/{kind}/{name}?write_id=…&expected=…: the outcome of a write
 // that got a 504. `expected` is the version in its condition, or "none".
-Reply HandleAsk(const Ports& ports, const Request& request,
-                const settings::ObjectName& name);
+Reply HandleWriteStatus(const Ports& ports, const Request& request,
+                        const settings::ObjectName& name);
 
 }  // namespace hibiscuspick::operators
--- a/packages/operators/tests/api_bench.h
+++ b/packages/operators/tests/api_fixture.h
@@ -33,12 +33,12 @@
     ports_.status = [] { return Json{{"members", Json::array()}}; };
     ports_.metrics = [] { return std::string("hp_up 1\n"); };
     ports_.make_write_id = [] { return MakeWriteId(); };
-    ports_.pause = [] {};
-    Follow();
+    ports_.sleep_between_attempts = [] {};
+    SyncFromPlatform();
   }
 
   // Loads the platform's content, as a watch would.
-  void Follow() {
+  void SyncFromPlatform() {
     settings::ConfigDelta delta{{}, Revision(platform_->counter), {}};
     for (const auto& [name, it] : platform_->objects) {
       delta.objects.push_back({name, it.version, DumpJson(it.value)});
@@ -55,7 +55,7 @@
     request.method = method;
     const size_t mark = path.find('?');
     request.path = path.substr(0, mark);
-    if (mark != std::string::npos) ReadQuery(path.substr(mark + 1), &request);
+    if (mark != std::string::npos) ParseQuery(path.substr(mark + 1), &request);
     request.authorization = std::string("Bearer ") + kToken;
     (if_match == "*" ? request.if_none_match : request.if_match) = if_match;
     request.write_id = write_id;
@@ -79,7 +79,7 @@
     configuration_ = BuildConfiguration(store_, configuration_.get());
   }
 
-  static void ReadQuery(const std::string& text, Request* request) {
+  static void ParseQuery(const std::string& text, Request* request) {
     size_t begin = 0;
     while (begin < text.size()) {
       const size_t end = std::min(text.find('&', begin), text.size());
--- a/packages/operators/tests/api_test.cc
+++ b/packages/operators/tests/api_test.cc
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-#include "api_bench.h"
+#include "api_fixture.h"
 #include "hibiscuspick/settings/envelope.h"
 
 namespace data = boost::unit_test::data;
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(an_object_is_made_read_changed_and_deleted) {
+BOOST_AUTO_TEST_CASE(an_object_is_created_read_changed_and_deleted) {
   FakePlatform platform;
   Instance instance(&platform);
   const auto made = instance.Send("PUT", kSystem, Deadline(100), "*");
@@ -120,7 +120,8 @@
 // Many operators change one value through several instances concurrently. Each
 // acceptance must stand for exactly one version, and the last one must be the
 // value in force; otherwise an accepted change was lost.
-BOOST_AUTO_TEST_CASE(racing_operators_never_overwrite_each_other_unseen) {
+BOOST_AUTO_TEST_CASE(
+    concurrent_operators_never_overwrite_each_other_unknowingly) {
   constexpr int kOperators = 8;
   constexpr int kChanges = 20;
   FakePlatform platform;
@@ -154,12 +155,12 @@
   }
   for (auto& it : threads) it.join();
   BOOST_TEST(accepted == kOperators * kChanges);
-  first.Follow();
+  first.SyncFromPlatform();
   BOOST_TEST(first.Send("GET", kSystem).body["value"] ==
              Deadline(1 + kOperators * kChanges));
 }
 
-BOOST_AUTO_TEST_CASE(a_conflict_gives_what_is_there_now) {
+BOOST_AUTO_TEST_CASE(a_conflict_returns_the_current_object) {
   FakePlatform platform;
   Instance ours(&platform);
   ours.Send("PUT", kSystem, Deadline(1), "*");
@@ -189,7 +190,7 @@
 
 // The reply to a write is lost and the platform stops responding. The operator
 // gets a write id and looks up the outcome when the platform is back.
-BOOST_AUTO_TEST_CASE(an_unknown_write_can_be_asked_for_again) {
+BOOST_AUTO_TEST_CASE(the_outcome_of_an_unknown_write_can_be_looked_up) {
   FakePlatform platform;
   Instance instance(&platform);
   instance.Send("PUT", kSystem, Deadline(1), "*");
@@ -207,7 +208,7 @@
 
 // As above, but the write never arrived. While the object is unchanged it may
 // still arrive; after another write it can't, and the lookup must say so.
-BOOST_AUTO_TEST_CASE(a_write_that_never_arrived_is_told_apart) {
+BOOST_AUTO_TEST_CASE(a_write_that_never_arrived_is_distinguished) {
   FakePlatform platform;
   Instance instance(&platform);
   instance.Send("PUT", kSystem, Deadline(1), "*");
@@ -229,7 +230,7 @@
 // An operator's connection breaks before the reply, and the operator repeats
 // the change under the same write id. It must not be rejected as a conflict
 // with itself, nor match another value or precondition.
-BOOST_AUTO_TEST_CASE(a_write_sent_again_under_its_id_is_accepted_once) {
+BOOST_AUTO_TEST_CASE(a_write_repeated_under_its_id_is_accepted_once) {
   FakePlatform platform;
   Instance instance(&platform);
   instance.Send("PUT", kSystem, Deadline(1), "*");
@@ -256,7 +257,7 @@
   for (int i = 2; i <= 6; ++i) {
     instance.Send("PUT", kSystem, Deadline(i), std::to_string(i - 1));
   }
-  instance.Follow();
+  instance.SyncFromPlatform();
   const auto backup = ToJson(hp::settings::NextEnvelope(
       std::nullopt, hp::Revision(), Deadline(2), "old", false));
   platform.counter = 2;
@@ -280,7 +281,7 @@
 // A snapshot grows until it and the two manifests before it exceed the
 // platform's size limit for one value. The older ones are dropped; only a
 // manifest that is too large by itself is rejected.
-BOOST_AUTO_TEST_CASE(earlier_manifests_give_way_to_size) {
+BOOST_AUTO_TEST_CASE(previous_manifests_are_dropped_to_fit_the_size_limit) {
   FakePlatform platform;
   Instance instance(&platform);
   BOOST_TEST(
@@ -310,7 +311,7 @@
       413);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_taken_from_a_manifest_is_warned_of) {
+BOOST_AUTO_TEST_CASE(removing_a_server_named_by_a_manifest_gives_a_warning) {
   FakePlatform platform;
   Instance instance(&platform);
   instance.Send("PUT", "/v1/services/s", Service("b1"), "*");
@@ -349,7 +350,7 @@
 
 // An instance without a configuration can neither validate a value nor say what
 // is in force.
-BOOST_AUTO_TEST_CASE(an_instance_without_configuration_says_so) {
+BOOST_AUTO_TEST_CASE(an_instance_without_configuration_is_not_ready) {
   FakePlatform platform;
   Instance instance(&platform);
   auto ports = instance.ports();
--- a/packages/operators/tests/drain_test.cc
+++ b/packages/operators/tests/drain_test.cc
@@ -2,7 +2,7 @@
 #include <string>
 #include <vector>
 
-#include "api_bench.h"
+#include "api_fixture.h"
 
 namespace hp = hibiscuspick;
 using hp::Json;
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_drain_is_stored_and_spread_without_a_precondition) {
+BOOST_AUTO_TEST_CASE(a_drain_is_stored_and_announced_without_a_precondition) {
   FakePlatform platform;
   Instance instance(&platform);
   const auto reply = instance.Send("PUT", kDrain, {{"reason", "disk"}});
@@ -34,7 +34,8 @@
 
 // A server fails while the platform is down too. The order to drain it must
 // still reach all instances, and the reply must not claim that it is stored.
-BOOST_AUTO_TEST_CASE(with_the_platform_down_a_drain_is_spread_but_not_stored) {
+BOOST_AUTO_TEST_CASE(
+    with_the_platform_down_a_drain_is_announced_but_not_stored) {
   FakePlatform platform;
   Instance instance(&platform);
   platform.failing_reads = -1;
@@ -55,7 +56,7 @@
 
 // A stored drain stays in force while it can't be deleted: announcing that the
 // server accepts work would contradict the configuration.
-BOOST_AUTO_TEST_CASE(a_stored_drain_is_not_called_back_without_the_platform) {
+BOOST_AUTO_TEST_CASE(a_stored_drain_is_not_withdrawn_without_the_platform) {
   FakePlatform platform;
   Instance instance(&platform);
   instance.Send("PUT", kDrain, Json::object());
@@ -67,7 +68,7 @@
 
 // Two operators drain one server through two instances. Neither has a version
 // to name, and neither request may fail because of the other.
-BOOST_AUTO_TEST_CASE(racing_drains_both_succeed) {
+BOOST_AUTO_TEST_CASE(concurrent_drains_both_succeed) {
   FakePlatform platform;
   Instance ours(&platform);
   Instance theirs(&platform);
@@ -77,7 +78,7 @@
   BOOST_TEST(ours.Send("DELETE", kDrain).status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(a_faulty_drain_is_not_spread) {
+BOOST_AUTO_TEST_CASE(an_invalid_drain_is_not_announced) {
   FakePlatform platform;
   Instance instance(&platform);
   BOOST_TEST(instance.Send("PUT", kDrain, {{"until", 1}}).status == 422);
--- a/packages/operators/tests/server_test.cc
+++ b/packages/operators/tests/server_test.cc
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "api_bench.h"
+#include "api_fixture.h"
 #include "hibiscuspick/http/connection.h"
 #include "hibiscuspick/operators/bearer_token.h"
 
@@ -75,13 +75,14 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(only_the_whole_token_opens, data::make(kTokens), it) {
+BOOST_DATA_TEST_CASE(only_the_exact_token_is_accepted, data::make(kTokens),
+                     it) {
   BOOST_TEST(hp::operators::IsAuthorized(it.authorization, "secret") ==
              it.good);
   BOOST_TEST(!hp::operators::IsAuthorized(it.authorization, ""));
 }
 
-BOOST_AUTO_TEST_CASE(without_the_token_nothing_is_told) {
+BOOST_AUTO_TEST_CASE(without_the_token_nothing_is_revealed) {
   const Port port;
   for (const std::string path : {"/v1/status", "/metrics", "/v1/services/s"}) {
     std::string body;
@@ -113,7 +114,7 @@
 
 // A client sends invalid requests. The port must reject them with a status or
 // by closing the connection, and keep serving.
-BOOST_AUTO_TEST_CASE(oversized_and_malformed_requests_are_refused) {
+BOOST_AUTO_TEST_CASE(oversized_and_malformed_requests_are_rejected) {
   const Port port;
   const auto put = [&](std::string body) {
     auto request = With(MakeRequest("PUT", "/v1/routes/r", std::move(body)),
--- a/packages/platform/src/accept_write.cc
+++ b/packages/platform/src/accept_write.cc
@@ -8,12 +8,12 @@
 namespace hibiscuspick::platform {
 namespace {
 
-using settings::WriteMark;
+using settings::WriteRecord;
 
 // Whether the marks include every write after `since`.
-bool ListsWritesSince(const std::vector<WriteMark>& marks, Revision since) {
+bool ListsWritesSince(const std::vector<WriteRecord>& marks, Revision since) {
   if (marks.size() < settings::kKeptWriteIds) return true;
-  return std::any_of(marks.begin(), marks.end(), [&](const WriteMark& it) {
+  return std::any_of(marks.begin(), marks.end(), [&](const WriteRecord& it) {
     return it.version.value != 0 && it.version <= since;
   });
 }
@@ -21,7 +21,7 @@
 // Returns the object's write marks, with the last one's version filled in from
 // the object, since an envelope cannot contain its own version. None if the
 // value is not an envelope.
-std::optional<std::vector<WriteMark>> MarksOf(const StoredObject& object) {
+std::optional<std::vector<WriteRecord>> MarksOf(const StoredObject& object) {
   const auto envelope = settings::ReadEnvelope(object.value);
   if (!IsOk(envelope)) return std::nullopt;
   auto marks = ValueOf(envelope).writes;
--- a/packages/records/include/hibiscuspick/records/bucket.h
+++ b/packages/records/include/hibiscuspick/records/bucket.h
@@ -34,19 +34,19 @@
   Millis window{24.0 * 3600 * 1000};
   // A key dated further in the future than this is rejected.
   Millis max_ahead{60 * 1000};
-  size_t max_key = 128;
+  size_t max_key_bytes = 128;
   // The serialised size at which a bucket accepts no more claims. It is below
   // the platform's limit of one megabyte so that outcomes still fit.
   size_t max_bucket_bytes = 600000;
   // A longer result is not stored; a repeat of the record then gets null.
-  size_t max_result = 2000;
+  size_t max_result_bytes = 2000;
 };
 
 // The longest window that the layout supports.
-Millis LongestWindow(const Layout& layout);
+Millis MaxWindow(const Layout& layout);
 
 // The location of a key's claim.
-struct Place {
+struct KeyLocation {
   std::string bucket;
   // The time slot of a dated key; 0 for undated keys.
   uint64_t epoch = 0;
@@ -58,8 +58,8 @@
 
 // Errors: kMalformedRequest for a key that is empty, too long, contains control
 // characters or is dated too far in the future; kKeyTooOld.
-Result<Place> PlaceOf(const Rules& rules, const std::string& service,
-                      const std::string& key, Millis wall_now);
+Result<KeyLocation> LocateKey(const Rules& rules, const std::string& service,
+                              const std::string& key, Millis wall_now);
 
 enum class EntryState { kClaimed, kDone, kFailed };
 
@@ -105,9 +105,9 @@
 
 enum class VerdictKind {
   // The bucket contains the change.
-  kInForce,
+  kApplied,
   // Another claim holds the key; `entry` is its state.
-  kTaken,
+  kClaimedByOther,
   // The bucket has moved to a later epoch.
   kTooOld,
   kFull,
--- a/packages/records/include/hibiscuspick/records/committer.h
+++ b/packages/records/include/hibiscuspick/records/committer.h
@@ -63,7 +63,7 @@
 // are dropped, which leaves outcomes unknown but runs no record twice.
 inline constexpr size_t kMaxOrphans = 1000;
 
-struct Waiting {
+struct PendingChange {
   Change change;
   // No submitter waits for the verdict.
   bool is_orphan = false;
@@ -71,7 +71,7 @@
   bool is_written = false;
   // The bucket was read or written since the change was submitted. A verdict
   // from an older copy could miss another instance's outcome.
-  bool is_seen = false;
+  bool is_read_since_submit = false;
 };
 
 // A write whose reply was lost. It may still take effect until the object is
@@ -86,13 +86,13 @@
   bool is_known = false;
   BucketValue value;
   std::optional<Revision> version;
-  std::optional<LostWrite> lost;
-  std::map<uint64_t, Waiting> waiting;
+  std::optional<LostWrite> lost_write;
+  std::map<uint64_t, PendingChange> pending;
   // A platform call is in flight.
   bool is_busy = false;
   // The write in flight: its value, and the verdicts that depend on it.
-  BucketValue written;
-  std::optional<Revision> written_over;
+  BucketValue write_value;
+  std::optional<Revision> write_expected;
   std::vector<Decided> on_success;
   // Consecutive failed calls.
   uint32_t failures = 0;
--- a/packages/records/include/hibiscuspick/records/record_flow.h
+++ b/packages/records/include/hibiscuspick/records/record_flow.h
@@ -60,14 +60,15 @@
                                           const Verdict& verdict);
 
 // The answer if the claim took effect too late to dispatch the record.
-RecordAnswer AnswerTooLate();
+RecordAnswer DeadlineAnswer();
 
-struct AfterDispatch {
+struct DispatchDecision {
   RecordAnswer answer;
   // The change to commit; nullopt if the outcome is unknown, so that the claim
   // stays in place and records that.
   std::optional<Change> change;
 };
-AfterDispatch TakeDispatch(const Claim& claim, const DispatchResult& result);
+DispatchDecision HandleDispatchResult(const Claim& claim,
+                                      const DispatchResult& result);
 
 }  // namespace hibiscuspick::records
--- a/packages/records/include/hibiscuspick/records/record_runner.h
+++ b/packages/records/include/hibiscuspick/records/record_runner.h
@@ -55,23 +55,23 @@
   bool Flush(Millis until);
 
   // The number of buckets with changes that are not stored yet.
-  size_t unstored();
+  size_t unstored_buckets();
 
  private:
   struct Bucket;
   struct Job;
 
-  std::shared_ptr<Bucket> BucketOf(const std::string& name);
+  std::shared_ptr<Bucket> GetBucket(const std::string& name);
   Verdict Commit(const std::string& name, const Change& change, Millis until);
   // Submits a change to be stored in the background.
-  void CommitLater(const std::string& name, const Change& change);
+  void CommitAsync(const std::string& name, const Change& change);
   void Advance(const std::shared_ptr<Bucket>& bucket, const CommitEvent& event);
   void Enqueue(const std::shared_ptr<Bucket>& bucket, CommitAction action,
                Millis not_before);
-  void Work();
+  void RunWorker();
   void Perform(const Job& job);
   Result<StoredBucket> Read(const std::string& name);
-  void RetryLeftovers();
+  void RetryPending();
 
   const std::string token_prefix_;
   Rules rules_;
--- a/packages/records/src/bucket.cc
+++ b/packages/records/src/bucket.cc
@@ -15,7 +15,7 @@
 // The size of an entry in addition to its texts, an overestimate.
 constexpr size_t kEntryOverhead = 80;
 
-Error Malformed(const std::string& message) {
+Error MakeMalformedKeyError(const std::string& message) {
   return {Code::kMalformedRequest, "$.key", message};
 }
 
@@ -73,15 +73,15 @@
   const auto it = value->entries.find(claim.key);
   if (it != value->entries.end()) {
     const bool is_ours = it->second.token == claim.token;
-    return {is_ours ? VerdictKind::kInForce : VerdictKind::kTaken, it->second,
-            false};
+    return {is_ours ? VerdictKind::kApplied : VerdictKind::kClaimedByOther,
+            it->second, false};
   }
   if (SizeOf(*value) >= rules.max_bucket_bytes) {
     return {VerdictKind::kFull, {}, false};
   }
   const Entry entry{claim.token, claim.body_hash, EntryState::kClaimed, ""};
   value->entries.emplace(claim.key, entry);
-  return {VerdictKind::kInForce, entry, true};
+  return {VerdictKind::kApplied, entry, true};
 }
 
 Verdict ApplyTo(const Rules& rules, BucketValue* value,
@@ -89,14 +89,14 @@
   const auto it = value->entries.find(outcome.key);
   const bool is_ours =
       it != value->entries.end() && it->second.token == outcome.token;
-  if (!is_ours) return {VerdictKind::kTaken, {}, false};
+  if (!is_ours) return {VerdictKind::kClaimedByOther, {}, false};
   if (it->second.state == outcome.state) {
-    return {VerdictKind::kInForce, it->second, false};
+    return {VerdictKind::kApplied, it->second, false};
   }
   it->second.state = outcome.state;
   it->second.result =
-      outcome.result.size() <= rules.max_result ? outcome.result : "";
-  return {VerdictKind::kInForce, it->second, true};
+      outcome.result.size() <= rules.max_result_bytes ? outcome.result : "";
+  return {VerdictKind::kApplied, it->second, true};
 }
 
 Verdict ApplyTo(const Rules&, BucketValue* value, const ReleaseClaim& release) {
@@ -104,12 +104,12 @@
   const bool is_ours =
       it != value->entries.end() && it->second.token == release.token;
   if (is_ours) value->entries.erase(it);
-  return {VerdictKind::kInForce, {}, is_ours};
+  return {VerdictKind::kApplied, {}, is_ours};
 }
 
 }  // namespace
 
-Millis LongestWindow(const Layout& layout) {
+Millis MaxWindow(const Layout& layout) {
   return layout.slot * static_cast<double>(layout.ring_slots - kSpareSlots);
 }
 
@@ -125,28 +125,30 @@
   return Millis(date);
 }
 
-Result<Place> PlaceOf(const Rules& rules, const std::string& service,
-                      const std::string& key, Millis wall_now) {
-  if (key.empty()) return Malformed("must not be empty");
-  if (key.size() > rules.max_key) return Malformed("is too long");
-  if (!IsPrintable(key)) return Malformed("has control characters");
+Result<KeyLocation> LocateKey(const Rules& rules, const std::string& service,
+                              const std::string& key, Millis wall_now) {
+  if (key.empty()) return MakeMalformedKeyError("must not be empty");
+  if (key.size() > rules.max_key_bytes)
+    return MakeMalformedKeyError("is too long");
+  if (!IsPrintable(key)) return MakeMalformedKeyError("has control characters");
   const Layout& layout = rules.layout;
   const uint64_t hash = Hash(key, Hash(service));
   const auto date = DateOf(key);
   if (!date) {
-    return Place{"undated-" + std::to_string(hash % layout.undated_buckets), 0};
+    return KeyLocation{
+        "undated-" + std::to_string(hash % layout.undated_buckets), 0};
   }
   if (*date > wall_now + rules.max_ahead) {
-    return Malformed("is dated too far in the future");
+    return MakeMalformedKeyError("is dated too far in the future");
   }
-  if (*date < wall_now - Min(rules.window, LongestWindow(layout))) {
+  if (*date < wall_now - Min(rules.window, MaxWindow(layout))) {
     return Error{Code::kKeyTooOld, "$.key", ""};
   }
   const auto slot =
       static_cast<uint64_t>(std::floor(date->count / layout.slot.count));
-  return Place{"ring-" + std::to_string(slot % layout.ring_slots) + "-" +
-                   std::to_string(hash % layout.buckets_per_slot),
-               slot};
+  return KeyLocation{"ring-" + std::to_string(slot % layout.ring_slots) + "-" +
+                         std::to_string(hash % layout.buckets_per_slot),
+                     slot};
 }
 
 Json ToJson(const BucketValue& value) {
@@ -185,7 +187,7 @@
   // later epoch.
   if (epoch > value->epoch) {
     if (!std::holds_alternative<Claim>(change)) {
-      return {VerdictKind::kTaken, {}, false};
+      return {VerdictKind::kClaimedByOther, {}, false};
     }
     value->epoch = epoch;
     value->entries.clear();
--- a/packages/records/src/committer.cc
+++ b/packages/records/src/committer.cc
@@ -10,17 +10,17 @@
 
 using Actions = std::vector<CommitAction>;
 
-void Read(Committer* it, Actions* actions) {
+void StartRead(Committer* it, Actions* actions) {
   it->is_busy = true;
   actions->emplace_back(ReadBucket{});
 }
 
 void Decide(Committer* it, uint64_t id, const Verdict& verdict,
             Actions* actions) {
-  const auto place = it->waiting.find(id);
-  if (place == it->waiting.end()) return;
-  if (!place->second.is_orphan) actions->emplace_back(Decided{id, verdict});
-  it->waiting.erase(place);
+  const auto entry = it->pending.find(id);
+  if (entry == it->pending.end()) return;
+  if (!entry->second.is_orphan) actions->emplace_back(Decided{id, verdict});
+  it->pending.erase(entry);
 }
 
 const std::string& KeyOf(const Change& change) {
@@ -28,11 +28,11 @@
                     change);
 }
 
-struct Round {
+struct Batch {
   BucketValue value;
-  std::vector<Decided> by_write;
-  std::vector<Decided> at_once;
-  bool wants_read = false;
+  std::vector<Decided> after_write;
+  std::vector<Decided> immediate;
+  bool needs_read = false;
 };
 
 // Applies all pending changes to a copy of the bucket. A change that alters the
@@ -41,120 +41,122 @@
 // verdict that depends on what another change of this batch altered waits too:
 // otherwise a caller would be told that its key is in use by a claim that never
 // took effect.
-Round MakeRound(const Committer& it) {
-  Round round;
-  round.value = it.value;
+Batch MakeBatch(const Committer& it) {
+  Batch batch;
+  batch.value = it.value;
   std::set<std::string> altered;
-  for (const auto& [id, waiting] : it.waiting) {
-    const Verdict verdict = Apply(it.rules, &round.value, waiting.change);
-    const std::string& key = KeyOf(waiting.change);
-    if (verdict.is_changed || it.lost) {
-      round.by_write.push_back({id, verdict});
+  for (const auto& [id, pending] : it.pending) {
+    const Verdict verdict = Apply(it.rules, &batch.value, pending.change);
+    const std::string& key = KeyOf(pending.change);
+    if (verdict.is_changed || it.lost_write) {
+      batch.after_write.push_back({id, verdict});
       altered.insert(key);
       continue;
     }
-    const bool rests_on_round =
-        altered.contains(key) || round.value.epoch != it.value.epoch;
-    if (rests_on_round) continue;
-    if (waiting.is_seen || verdict.kind == VerdictKind::kTooOld) {
-      round.at_once.push_back({id, verdict});
+    const bool depends_on_batch =
+        altered.contains(key) || batch.value.epoch != it.value.epoch;
+    if (depends_on_batch) continue;
+    if (pending.is_read_since_submit || verdict.kind == VerdictKind::kTooOld) {
+      batch.immediate.push_back({id, verdict});
     } else {
-      round.wants_read = true;
+      batch.needs_read = true;
     }
   }
-  return round;
+  return batch;
 }
 
-void Write(Committer* it, Round round, Actions* actions) {
-  for (const auto& decided : round.by_write) {
-    it->waiting[decided.id].is_written = true;
+void StartWrite(Committer* it, Batch batch, Actions* actions) {
+  for (const auto& decided : batch.after_write) {
+    it->pending[decided.id].is_written = true;
   }
-  it->written = std::move(round.value);
-  it->written_over = it->version;
-  it->on_success = std::move(round.by_write);
+  it->write_value = std::move(batch.value);
+  it->write_expected = it->version;
+  it->on_success = std::move(batch.after_write);
   it->is_busy = true;
-  actions->emplace_back(WriteBucket{it->written, it->version});
+  actions->emplace_back(WriteBucket{it->write_value, it->version});
 }
 
 // Starts the next call if any change is pending.
-void Begin(Committer* it, Actions* actions) {
-  if (it->is_busy || it->waiting.empty()) return;
+void StartNextCall(Committer* it, Actions* actions) {
+  if (it->is_busy || it->pending.empty()) return;
   if (!it->is_known) {
-    Read(it, actions);
+    StartRead(it, actions);
     return;
   }
-  Round round = MakeRound(*it);
-  for (const auto& decided : round.at_once) {
+  Batch batch = MakeBatch(*it);
+  for (const auto& decided : batch.immediate) {
     Decide(it, decided.id, decided.verdict, actions);
   }
-  if (!round.by_write.empty()) {
-    Write(it, std::move(round), actions);
-  } else if (round.wants_read) {
-    Read(it, actions);
+  if (!batch.after_write.empty()) {
+    StartWrite(it, std::move(batch), actions);
+  } else if (batch.needs_read) {
+    StartRead(it, actions);
   }
 }
 
 void DropOldOrphans(Committer* it) {
   size_t n = static_cast<size_t>(
-      std::count_if(it->waiting.begin(), it->waiting.end(),
+      std::count_if(it->pending.begin(), it->pending.end(),
                     [](const auto& w) { return w.second.is_orphan; }));
-  for (auto w = it->waiting.begin(); n > kMaxOrphans;) {
+  for (auto w = it->pending.begin(); n > kMaxOrphans;) {
     const bool is_dropped = w->second.is_orphan;
-    w = is_dropped ? it->waiting.erase(w) : std::next(w);
+    w = is_dropped ? it->pending.erase(w) : std::next(w);
     if (is_dropped) --n;
   }
 }
 
 // The submitter of `id` has stopped waiting, or got the verdict kUnknown.
 void Abandon(Committer* it, uint64_t id) {
-  const auto place = it->waiting.find(id);
-  if (place == it->waiting.end()) return;
-  const auto* claim = std::get_if<Claim>(&place->second.change);
+  const auto entry = it->pending.find(id);
+  if (entry == it->pending.end()) return;
+  const auto* claim = std::get_if<Claim>(&entry->second.change);
   if (claim == nullptr) {
-    place->second.is_orphan = true;
+    entry->second.is_orphan = true;
   } else {
-    Waiting release;
+    PendingChange release;
     release.change = ReleaseClaim{claim->key, claim->epoch, claim->token};
     release.is_orphan = true;
-    if (place->second.is_written) it->waiting[id | kReleaseBit] = release;
-    it->waiting.erase(id);
+    if (entry->second.is_written) it->pending[id | kReleaseBit] = release;
+    it->pending.erase(id);
   }
   DropOldOrphans(it);
 }
 
 // Handles a failed call. After kMaxFailures consecutive ones, all submitters
 // get kUnknown, and no call is made until the next Submit or Retry.
-void Fail(Committer* it, Actions* actions) {
+void OnCallFailed(Committer* it, Actions* actions) {
   it->is_known = false;
   ++it->failures;
   if (it->failures < kMaxFailures) {
-    Begin(it, actions);
+    StartNextCall(it, actions);
     return;
   }
-  std::vector<uint64_t> told;
-  for (const auto& [id, waiting] : it->waiting) {
-    if (!waiting.is_orphan) told.push_back(id);
+  std::vector<uint64_t> notified;
+  for (const auto& [id, pending] : it->pending) {
+    if (!pending.is_orphan) notified.push_back(id);
   }
-  for (const uint64_t id : told) {
+  for (const uint64_t id : notified) {
     actions->emplace_back(Decided{id, {VerdictKind::kUnknown, {}}});
     Abandon(it, id);
   }
 }
 
-void Know(Committer* it, BucketValue value, std::optional<Revision> version) {
+void SetBucket(Committer* it, BucketValue value,
+               std::optional<Revision> version) {
   it->is_known = true;
   it->value = std::move(value);
   it->version = version;
   it->failures = 0;
   // A lost write can no longer take effect once the version has changed.
-  if (it->lost && it->lost->expected != version) it->lost.reset();
+  if (it->lost_write && it->lost_write->expected != version)
+    it->lost_write.reset();
 }
 
 void On(Committer* it, const Submit& event, Actions* actions) {
-  Waiting waiting;
-  waiting.change = event.change;
-  it->waiting.emplace(event.id, std::move(waiting));
-  Begin(it, actions);
+  PendingChange pending;
+  pending.change = event.change;
+  it->pending.emplace(event.id, std::move(pending));
+  StartNextCall(it, actions);
 }
 
 void On(Committer* it, const GiveUp& event, Actions*) { Abandon(it, event.id); }
@@ -163,26 +165,26 @@
   it->is_busy = false;
   if (IsOk(event.result)) {
     const StoredBucket& bucket = ValueOf(event.result);
-    Know(it, bucket.value, bucket.version);
+    SetBucket(it, bucket.value, bucket.version);
   } else if (ErrorOf(event.result).code == Code::kNotFound) {
-    Know(it, BucketValue{}, std::nullopt);
+    SetBucket(it, BucketValue{}, std::nullopt);
   } else {
-    Fail(it, actions);
+    OnCallFailed(it, actions);
     return;
   }
-  for (auto& [id, waiting] : it->waiting) waiting.is_seen = true;
-  Begin(it, actions);
+  for (auto& [id, pending] : it->pending) pending.is_read_since_submit = true;
+  StartNextCall(it, actions);
 }
 
 void On(Committer* it, const PutDone& event, Actions* actions) {
   it->is_busy = false;
   if (IsOk(event.result)) {
-    Know(it, std::move(it->written), ValueOf(event.result));
-    it->lost.reset();
+    SetBucket(it, std::move(it->write_value), ValueOf(event.result));
+    it->lost_write.reset();
     for (const auto& decided : std::exchange(it->on_success, {})) {
       Decide(it, decided.id, decided.verdict, actions);
     }
-    Begin(it, actions);
+    StartNextCall(it, actions);
     return;
   }
   it->on_success.clear();
@@ -190,18 +192,18 @@
   if (code == Code::kPlatformConflict) {
     // Not a failure of the platform: another instance wrote first.
     it->is_known = false;
-    Begin(it, actions);
+    StartNextCall(it, actions);
     return;
   }
   if (code == Code::kPlatformReplyLost) {
-    it->lost = LostWrite{it->written_over};
+    it->lost_write = LostWrite{it->write_expected};
   }
-  Fail(it, actions);
+  OnCallFailed(it, actions);
 }
 
 void On(Committer* it, const Retry&, Actions* actions) {
   it->failures = 0;
-  Begin(it, actions);
+  StartNextCall(it, actions);
 }
 
 }  // namespace
@@ -212,6 +214,6 @@
   return actions;
 }
 
-bool IsIdle(const Committer& it) { return it.waiting.empty() && !it.is_busy; }
+bool IsIdle(const Committer& it) { return it.pending.empty() && !it.is_busy; }
 
 }  // namespace hibiscuspick::records
--- a/packages/records/src/record_flow.cc
+++ b/packages/records/src/record_flow.cc
@@ -7,21 +7,21 @@
 namespace hibiscuspick::records {
 namespace {
 
-constexpr Millis kRetryLater{1000};
+constexpr Millis kRetryAfter{1000};
 
-RecordAnswer Refuse(Code code, const std::string& message,
+RecordAnswer Reject(Code code, const std::string& message,
                     Millis retry_after = Millis(0)) {
   return {code, Ran::kNo, "", retry_after, message};
 }
 
-RecordAnswer Unknown() {
+RecordAnswer OutcomeUnknown() {
   return {Code::kOutcomeUnknown, Ran::kMaybe, "", Millis(0), ""};
 }
 
 // The outcome of an earlier request with the same key.
 RecordAnswer AnswerOfEntry(const Claim& claim, const Entry& entry) {
   if (entry.body_hash != claim.body_hash) {
-    return Refuse(Code::kKeyInUse, "");
+    return Reject(Code::kKeyInUse, "");
   }
   switch (entry.state) {
     case EntryState::kDone:
@@ -32,12 +32,12 @@
     case EntryState::kClaimed:
       break;
   }
-  return Unknown();
+  return OutcomeUnknown();
 }
 
 // Whether the record did not run, even if a connection to a server was
 // attempted.
-bool IsNotRun(const DispatchResult& result) {
+bool DidNotRun(const DispatchResult& result) {
   return result.ran == Ran::kNo || result.code == Code::kShed ||
          result.code == Code::kConnectFailed;
 }
@@ -46,14 +46,14 @@
 
 Result<ClaimPlan> PlanClaim(const Rules& rules, const RecordRequest& request,
                             const std::string& token, Millis wall_now) {
-  const auto place =
-      PlaceOf(rules, request.service.text, request.key, wall_now);
-  if (!IsOk(place)) return ErrorOf(place);
+  const auto location =
+      LocateKey(rules, request.service.text, request.key, wall_now);
+  if (!IsOk(location)) return ErrorOf(location);
   ClaimPlan plan;
-  plan.bucket = ValueOf(place).bucket;
+  plan.bucket = ValueOf(location).bucket;
   // A service's name has no slash, so keys of different services are distinct.
   plan.claim.key = request.service.text + "/" + request.key;
-  plan.claim.epoch = ValueOf(place).epoch;
+  plan.claim.epoch = ValueOf(location).epoch;
   plan.claim.token = token;
   plan.claim.body_hash = Hash(request.record, Hash(request.shard.text));
   return plan;
@@ -62,51 +62,52 @@
 std::optional<RecordAnswer> AnswerToClaim(const Claim& claim,
                                           const Verdict& verdict) {
   switch (verdict.kind) {
-    case VerdictKind::kInForce:
+    case VerdictKind::kApplied:
       return std::nullopt;
-    case VerdictKind::kTaken:
+    case VerdictKind::kClaimedByOther:
       return AnswerOfEntry(claim, verdict.entry);
     case VerdictKind::kTooOld:
-      return Refuse(Code::kKeyTooOld, "");
+      return Reject(Code::kKeyTooOld, "");
     case VerdictKind::kFull:
-      return Refuse(Code::kQueueFull, "the key's bucket of claims is full",
-                    kRetryLater);
+      return Reject(Code::kQueueFull, "the key's bucket of claims is full",
+                    kRetryAfter);
     case VerdictKind::kUnknown:
       break;
   }
   // The claim may still take effect, but this request won't dispatch the
   // record, and no other can.
-  return Refuse(Code::kPlatformUnavailable, "", kRetryLater);
+  return Reject(Code::kPlatformUnavailable, "", kRetryAfter);
 }
 
-RecordAnswer AnswerTooLate() {
-  return Refuse(Code::kDeadlineExceeded,
+RecordAnswer DeadlineAnswer() {
+  return Reject(Code::kDeadlineExceeded,
                 "the deadline passed before the record was dispatched",
-                kRetryLater);
+                kRetryAfter);
 }
 
-AfterDispatch TakeDispatch(const Claim& claim, const DispatchResult& result) {
-  AfterDispatch after;
-  if (IsNotRun(result)) {
-    after.answer = {result.code, result.ran, "", kRetryLater, ""};
-    after.change = ReleaseClaim{claim.key, claim.epoch, claim.token};
-    return after;
+DispatchDecision HandleDispatchResult(const Claim& claim,
+                                      const DispatchResult& result) {
+  DispatchDecision decision;
+  if (DidNotRun(result)) {
+    decision.answer = {result.code, result.ran, "", kRetryAfter, ""};
+    decision.change = ReleaseClaim{claim.key, claim.epoch, claim.token};
+    return decision;
   }
   if (result.code == Code::kOk) {
-    after.answer = {Code::kOk, Ran::kMaybe, result.result, Millis(0), ""};
-    after.change = StoreOutcome{claim.key, claim.epoch, claim.token,
-                                EntryState::kDone, result.result};
-    return after;
+    decision.answer = {Code::kOk, Ran::kMaybe, result.result, Millis(0), ""};
+    decision.change = StoreOutcome{claim.key, claim.epoch, claim.token,
+                                   EntryState::kDone, result.result};
+    return decision;
   }
   if (result.code == Code::kRecordFailed) {
-    after.answer = {Code::kRecordFailed, Ran::kMaybe, result.result, Millis(0),
-                    result.result};
-    after.change = StoreOutcome{claim.key, claim.epoch, claim.token,
-                                EntryState::kFailed, result.result};
-    return after;
+    decision.answer = {Code::kRecordFailed, Ran::kMaybe, result.result,
+                       Millis(0), result.result};
+    decision.change = StoreOutcome{claim.key, claim.epoch, claim.token,
+                                   EntryState::kFailed, result.result};
+    return decision;
   }
-  after.answer = Unknown();
-  return after;
+  decision.answer = OutcomeUnknown();
+  return decision;
 }
 
 }  // namespace hibiscuspick::records
--- a/packages/records/src/record_runner.cc
+++ b/packages/records/src/record_runner.cc
@@ -20,7 +20,7 @@
 constexpr Millis kBackoff{20};
 
 // The interval at which failed writes of outcomes are retried.
-constexpr Millis kRetryEvery{1000};
+constexpr Millis kRetryInterval{1000};
 
 }  // namespace
 
@@ -44,9 +44,9 @@
     : token_prefix_(std::move(token_prefix)),
       rules_(rules),
       ports_(std::move(ports)),
-      next_retry_(SteadyNow() + kRetryEvery) {
+      next_retry_(SteadyNow() + kRetryInterval) {
   for (size_t i = 0; i < kThreads; ++i) {
-    threads_.emplace_back([this] { Work(); });
+    threads_.emplace_back([this] { RunWorker(); });
   }
 }
 
@@ -81,23 +81,23 @@
 
   // The claim may have taken up the whole deadline. A record dispatched now
   // would run although nobody waits for it.
-  const Millis left = until - SteadyNow();
-  if (left <= Millis(0)) {
-    CommitLater(bucket, ReleaseClaim{claim.key, claim.epoch, claim.token});
-    return AnswerTooLate();
+  const Millis time_left = until - SteadyNow();
+  if (time_left <= Millis(0)) {
+    CommitAsync(bucket, ReleaseClaim{claim.key, claim.epoch, claim.token});
+    return DeadlineAnswer();
   }
-  const DispatchResult result = ports_.dispatch(request, left);
-  const AfterDispatch after = TakeDispatch(claim, result);
+  const DispatchResult result = ports_.dispatch(request, time_left);
+  const DispatchDecision decision = HandleDispatchResult(claim, result);
   Log(Part::kRecord)
       .info(
           "Record {} of service {} for shard {} ended with {}, its attempt "
           "with {}.",
           request.request_id, request.service.text, request.shard.text,
-          CodeName(after.answer.code), CodeName(result.code));
+          CodeName(decision.answer.code), CodeName(result.code));
   // The answer doesn't wait until the outcome is stored. A repeat of the record
   // that arrives before that is told "may have run", which is correct.
-  if (after.change) CommitLater(bucket, *after.change);
-  return after.answer;
+  if (decision.change) CommitAsync(bucket, *decision.change);
+  return decision.answer;
 }
 
 void RecordRunner::SetWindow(Millis window) {
@@ -105,21 +105,21 @@
   rules_.window = window;
 }
 
-std::shared_ptr<RecordRunner::Bucket> RecordRunner::BucketOf(
+std::shared_ptr<RecordRunner::Bucket> RecordRunner::GetBucket(
     const std::string& name) {
-  auto& place = buckets_[name];
-  if (place) return place;
-  place = std::make_shared<Bucket>();
-  place->name = name;
-  place->committer.rules = rules_;
-  auto bucket = place;
+  auto& entry = buckets_[name];
+  if (entry) return entry;
+  entry = std::make_shared<Bucket>();
+  entry->name = name;
+  entry->committer.rules = rules_;
+  auto bucket = entry;
   for (auto it = buckets_.begin();
        it != buckets_.end() && buckets_.size() > kMaxIdleBuckets;) {
     // A bucket in use elsewhere has a second owner besides the map. One with a
     // lost write must stay: only it knows that the write may still take effect.
     const bool is_dropped = it->second.use_count() == 1 &&
                             IsIdle(it->second->committer) &&
-                            !it->second->committer.lost;
+                            !it->second->committer.lost_write;
     it = is_dropped ? buckets_.erase(it) : std::next(it);
   }
   return bucket;
@@ -128,7 +128,7 @@
 Verdict RecordRunner::Commit(const std::string& name, const Change& change,
                              Millis until) {
   std::unique_lock lock(mutex_);
-  const auto bucket = BucketOf(name);
+  const auto bucket = GetBucket(name);
   const uint64_t id = ++last_id_;
   Advance(bucket, Submit{id, change});
   const auto is_decided = [&] { return bucket->decided.contains(id); };
@@ -142,9 +142,9 @@
   return verdict;
 }
 
-void RecordRunner::CommitLater(const std::string& name, const Change& change) {
+void RecordRunner::CommitAsync(const std::string& name, const Change& change) {
   const std::lock_guard lock(mutex_);
-  const auto bucket = BucketOf(name);
+  const auto bucket = GetBucket(name);
   const uint64_t id = ++last_id_;
   Advance(bucket, Submit{id, change});
   Advance(bucket, GiveUp{id});
@@ -170,11 +170,11 @@
   wake_.notify_one();
 }
 
-void RecordRunner::Work() {
+void RecordRunner::RunWorker() {
   std::unique_lock lock(mutex_);
   while (!is_stopping_) {
     const Millis now = SteadyNow();
-    if (now >= next_retry_) RetryLeftovers();
+    if (now >= next_retry_) RetryPending();
     const auto it = std::min_element(
         jobs_.begin(), jobs_.end(),
         [](const Job& a, const Job& b) { return a.not_before < b.not_before; });
@@ -216,14 +216,14 @@
   return StoredBucket{ValueOf(object).version, std::move(ValueOf(value))};
 }
 
-void RecordRunner::RetryLeftovers() {
-  next_retry_ = SteadyNow() + kRetryEvery;
+void RecordRunner::RetryPending() {
+  next_retry_ = SteadyNow() + kRetryInterval;
   for (const auto& [name, bucket] : buckets_) Advance(bucket, Retry{});
 }
 
 bool RecordRunner::Flush(Millis until) {
   std::unique_lock lock(mutex_);
-  RetryLeftovers();
+  RetryPending();
   const Millis span = Max(Millis(0), until - SteadyNow());
   return idle_.wait_for(lock, span.ToMicros(), [this] {
     return std::all_of(buckets_.begin(), buckets_.end(), [](const auto& it) {
@@ -232,11 +232,11 @@
   });
 }
 
-size_t RecordRunner::unstored() {
+size_t RecordRunner::unstored_buckets() {
   const std::lock_guard lock(mutex_);
   return static_cast<size_t>(std::count_if(
       buckets_.begin(), buckets_.end(),
-      [](const auto& it) { return !it.second->committer.waiting.empty(); }));
+      [](const auto& it) { return !it.second->committer.pending.empty(); }));
 }
 
 }  // namespace hibiscuspick::records
--- a/packages/records/tests/bucket_test.cc
+++ b/packages/records/tests/bucket_test.cc
@@ -32,28 +32,29 @@
     {"control character", "a\nb", Code::kMalformedRequest, false},
 };
 
-BOOST_DATA_TEST_CASE(keys_have_one_place, data::make(kKeys), it) {
-  const auto place = PlaceOf(Rules{}, "claims", it.key, kNow);
-  BOOST_TEST_REQUIRE(IsOk(place) == (it.code == Code::kOk));
-  if (IsOk(place)) {
-    BOOST_TEST((ValueOf(place).epoch > 0) == it.dated);
-    const auto later = PlaceOf(Rules{}, "claims", it.key, kNow + Millis(9000));
-    BOOST_TEST(ValueOf(later).bucket == ValueOf(place).bucket);
+BOOST_DATA_TEST_CASE(keys_have_one_location, data::make(kKeys), it) {
+  const auto location = LocateKey(Rules{}, "claims", it.key, kNow);
+  BOOST_TEST_REQUIRE(IsOk(location) == (it.code == Code::kOk));
+  if (IsOk(location)) {
+    BOOST_TEST((ValueOf(location).epoch > 0) == it.dated);
+    const auto later =
+        LocateKey(Rules{}, "claims", it.key, kNow + Millis(9000));
+    BOOST_TEST(ValueOf(later).bucket == ValueOf(location).bucket);
   } else {
-    BOOST_TEST((ErrorOf(place).code == it.code));
+    BOOST_TEST((ErrorOf(location).code == it.code));
   }
 }
 
 // An operator sets a window longer than the ring. If it applied, a key would be
 // accepted although its claim has been removed.
-BOOST_AUTO_TEST_CASE(a_window_never_outlasts_the_ring) {
+BOOST_AUTO_TEST_CASE(a_window_never_exceeds_the_ring) {
   Rules rules;
   rules.window = Millis(30.0 * 24 * 3600 * 1000);
-  BOOST_TEST(LongestWindow(rules.layout).count == 24.0 * 3600 * 1000);
-  BOOST_TEST(!IsOk(PlaceOf(rules, "claims", "1764600000000-x", kNow)));
+  BOOST_TEST(MaxWindow(rules.layout).count == 24.0 * 3600 * 1000);
+  BOOST_TEST(!IsOk(LocateKey(rules, "claims", "1764600000000-x", kNow)));
 }
 
-BOOST_AUTO_TEST_CASE(a_bucket_reads_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(a_bucket_survives_a_round_trip) {
   BucketValue value;
   value.epoch = 9;
   value.entries["s/a"] = {"t1", 0xffffffffffffffffULL, EntryState::kClaimed,
@@ -78,24 +79,24 @@
 
 // The object was overwritten with something else. If it counted as empty, every
 // key in it would run again.
-BOOST_DATA_TEST_CASE(a_bucket_that_can_not_be_read_is_an_error,
-                     data::make(kBadBuckets), text) {
+BOOST_DATA_TEST_CASE(an_unparsable_bucket_is_an_error, data::make(kBadBuckets),
+                     text) {
   auto json = ParseJson(text);
   BOOST_TEST(!IsOk(BucketFromJson(ValueOf(json))));
 }
 
-BOOST_AUTO_TEST_CASE(a_full_bucket_takes_outcomes_but_no_claims) {
+BOOST_AUTO_TEST_CASE(a_full_bucket_accepts_outcomes_but_no_claims) {
   Rules rules;
   rules.max_bucket_bytes = 100;
   BucketValue value;
   BOOST_TEST(
       (Apply(rules, &value, Claim{"s/a", 0, std::string(50, 't'), 1}).kind ==
-       VerdictKind::kInForce));
+       VerdictKind::kApplied));
   BOOST_TEST((Apply(rules, &value, Claim{"s/b", 0, "t2", 1}).kind ==
               VerdictKind::kFull));
   const StoreOutcome outcome{"s/a", 0, std::string(50, 't'), EntryState::kDone,
                              "1"};
-  BOOST_TEST((Apply(rules, &value, outcome).kind == VerdictKind::kInForce));
+  BOOST_TEST((Apply(rules, &value, outcome).kind == VerdictKind::kApplied));
 }
 
 }  // namespace hibiscuspick::records
--- a/packages/records/tests/record_faults_test.cc
+++ b/packages/records/tests/record_faults_test.cc
@@ -50,7 +50,7 @@
       return;
     case 1:
       if (random->Below(4) != 0) return;
-      *it = RecordInstance{it->life + 1, 0, 0, {}, {}, {}};
+      *it = RecordInstance{it->incarnation + 1, 0, 0, {}, {}, {}};
       return;
     case 2:
       world->wall += Millis(static_cast<double>(random->Below(400)));
@@ -63,7 +63,7 @@
       }
       return;
     case 4:
-      if (!it->running.empty()) world->PassDeadline(it, n);
+      if (!it->running.empty()) world->ExpireDeadline(it, n);
       return;
     case 5:
       for (auto& [name, committer] : it->committers) {
@@ -112,7 +112,7 @@
     BOOST_TEST(count <= 1, key << " ran " << count << " times");
     ran += count;
   }
-  BOOST_TEST(world.broken_promises == 0);
+  BOOST_TEST(world.violations == 0);
   // Some records must have run despite the faults.
   BOOST_TEST(ran > 10);
   BOOST_TEST(world.done > 3);
@@ -127,7 +127,7 @@
 // The write of a claim fails in each way that the platform can fail. The
 // instance determines the outcome by reading back and, if necessary, writing
 // again; the record runs once.
-BOOST_DATA_TEST_CASE(a_fault_at_the_claim_is_settled, data::make(kWriteFaults),
+BOOST_DATA_TEST_CASE(a_fault_at_the_claim_is_resolved, data::make(kWriteFaults),
                      fault) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
@@ -136,19 +136,19 @@
   world.Call(it, bucket, Fault::kNone);
   world.Call(it, bucket, fault);
   BOOST_TEST(!it->running[n].may_dispatch);
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST_REQUIRE(it->running[n].may_dispatch);
   for (const auto& [name, write] : world.delayed) {
     BOOST_TEST(!IsOk(world.store.Put(name, write)));
   }
   world.Dispatch(it, n, {Code::kOk, Ran::kMaybe, "1"}, true);
-  world.Settle();
+  world.PerformAllCalls();
   // The same key at another instance gets the stored outcome; with another body
   // it gets a conflict.
   RecordInstance* other = &world.instances[1];
   const size_t again = world.Start(other, "k1", "y");
   const size_t changed = world.Start(other, "k1", "x");
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST((other->running[again].answer->code == Code::kOk));
   BOOST_TEST(other->running[again].answer->result == "1");
   BOOST_TEST((other->running[changed].answer->code == Code::kKeyInUse));
@@ -156,12 +156,12 @@
 
 // The write of the outcome fails. A repeat in the meantime is told that the
 // record may have run; once the write has been retried it gets the outcome.
-BOOST_DATA_TEST_CASE(a_fault_at_the_outcome_is_settled,
+BOOST_DATA_TEST_CASE(a_fault_at_the_outcome_is_resolved,
                      data::make(kWriteFaults), fault) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
   const size_t n = world.Start(it, "k1", "y");
-  world.Settle();
+  world.PerformAllCalls();
   world.Dispatch(it, n, {Code::kOk, Ran::kMaybe, "1"}, true);
   RecordInstance* other = &world.instances[1];
   const size_t early = world.Start(other, "k1", "y");
@@ -171,15 +171,15 @@
   BOOST_TEST((other->running[early].answer->code == Code::kOutcomeUnknown));
   BOOST_TEST((other->running[early].answer->ran == Ran::kMaybe));
   world.Call(it, it->running[n].plan.bucket, fault);
-  world.Settle();
+  world.PerformAllCalls();
   const size_t late = world.Start(other, "k1", "y");
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST((other->running[late].answer->code == Code::kOk));
 }
 
 // The platform is down from the start. The request is rejected as not run after
 // a few attempts instead of waiting until its deadline.
-BOOST_AUTO_TEST_CASE(without_the_platform_records_are_refused) {
+BOOST_AUTO_TEST_CASE(without_the_platform_records_are_rejected) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
   const size_t n = world.Start(it, "k1", "y");
@@ -196,7 +196,7 @@
 // Two requests with one key and different bodies wait for the same write, and
 // the platform goes down. Neither may be told that the key is in use, since no
 // claim was written.
-BOOST_AUTO_TEST_CASE(a_claim_that_is_not_written_yet_takes_no_key) {
+BOOST_AUTO_TEST_CASE(an_unwritten_claim_does_not_hold_its_key) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
   world.Start(it, "k1", "y");
@@ -214,19 +214,19 @@
 // The reply to a claim is lost, and the caller's deadline passes before the
 // outcome is known. The claim is released, so that the caller's next attempt
 // with the same key can run.
-BOOST_AUTO_TEST_CASE(a_claim_that_nobody_will_use_is_given_back) {
+BOOST_AUTO_TEST_CASE(an_unused_claim_is_released) {
   RecordWorld world(1);
   RecordInstance* it = &world.instances[0];
   const size_t n = world.Start(it, "k1", "y");
   const std::string bucket = it->running[n].plan.bucket;
   world.Call(it, bucket, Fault::kNone);
   world.Call(it, bucket, Fault::kLostDelayed);
-  world.PassDeadline(it, n);
+  world.ExpireDeadline(it, n);
   BOOST_TEST((it->running[n].answer->ran == Ran::kNo));
-  world.Settle();
+  world.PerformAllCalls();
   for (const auto& [name, write] : world.delayed) world.store.Put(name, write);
   const size_t again = world.Start(&world.instances[1], "k1", "y");
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST(world.instances[1].running[again].may_dispatch);
 }
 
@@ -242,7 +242,7 @@
   world.Call(a, bucket, Fault::kNone);
   world.Call(b, bucket, Fault::kNone);
   world.Call(b, bucket, Fault::kNone);
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST(b->running[0].may_dispatch);
   BOOST_TEST(!a->running[0].may_dispatch);
   BOOST_TEST((a->running[0].answer->code == Code::kOutcomeUnknown));
@@ -251,15 +251,15 @@
 // An instance reads a bucket and pauses until the bucket has been reused for a
 // later epoch. When it resumes, its write has a stale version, and the key,
 // whose claim was removed in the meantime, is rejected instead of run again.
-BOOST_AUTO_TEST_CASE(a_sleeper_can_not_revive_a_swept_key) {
+BOOST_AUTO_TEST_CASE(a_paused_instance_can_not_rerun_a_removed_key) {
   RecordWorld world(1);
-  RecordInstance* sleeper = &world.instances[0];
+  RecordInstance* paused_instance = &world.instances[0];
   RecordInstance* other = &world.instances[1];
   const std::string old_key =
       std::to_string(static_cast<uint64_t>(world.wall.count)) + "-k";
-  world.Start(sleeper, old_key, "y");
-  const std::string bucket = sleeper->running[0].plan.bucket;
-  world.Call(sleeper, bucket, Fault::kNone);
+  world.Start(paused_instance, old_key, "y");
+  const std::string bucket = paused_instance->running[0].plan.bucket;
+  world.Call(paused_instance, bucket, Fault::kNone);
   world.Start(other, old_key, "y");
   while (!other->calls.empty()) world.Call(other, bucket, Fault::kNone);
   world.Dispatch(other, 0, {Code::kOk, Ran::kMaybe, "1"}, true);
@@ -271,20 +271,20 @@
   world.Start(other, new_key, "y");
   BOOST_TEST_REQUIRE(other->running[1].plan.bucket == bucket);
   while (!other->calls.empty()) world.Call(other, bucket, Fault::kNone);
-  world.Settle();
-  BOOST_TEST_REQUIRE(sleeper->running[0].answer.has_value());
-  BOOST_TEST((sleeper->running[0].answer->code == Code::kKeyTooOld));
-  BOOST_TEST((sleeper->running[0].answer->ran == Ran::kNo));
+  world.PerformAllCalls();
+  BOOST_TEST_REQUIRE(paused_instance->running[0].answer.has_value());
+  BOOST_TEST((paused_instance->running[0].answer->code == Code::kKeyTooOld));
+  BOOST_TEST((paused_instance->running[0].answer->ran == Ran::kNo));
 }
 
 // Many requests wait while one write is in flight. They share the next write,
 // since the platform accepts only a few hundred a second.
-BOOST_AUTO_TEST_CASE(claims_that_wait_share_one_write) {
+BOOST_AUTO_TEST_CASE(pending_claims_share_one_write) {
   RecordWorld world(1);
   world.rules.layout.undated_buckets = 1;
   RecordInstance* it = &world.instances[0];
   for (int i = 0; i < 50; ++i) world.Start(it, "k" + std::to_string(i), "y");
-  world.Settle();
+  world.PerformAllCalls();
   BOOST_TEST(world.store.writes == 1);
   for (const auto& record : it->running) BOOST_TEST(record.may_dispatch);
 }
--- a/packages/records/tests/record_runner_test.cc
+++ b/packages/records/tests/record_runner_test.cc
@@ -113,7 +113,7 @@
 
 // The platform accepts calls but never answers. The caller is rejected by its
 // deadline instead of being blocked for as long as the platform hangs.
-BOOST_AUTO_TEST_CASE(a_hanging_platform_holds_no_caller) {
+BOOST_AUTO_TEST_CASE(a_hanging_platform_blocks_no_caller) {
   MemoryPlatform platform;
   std::atomic<int> dispatched{0};
   {
@@ -140,7 +140,7 @@
   RecordRunner runner("a.1", Rules{}, ports);
   BOOST_TEST((runner.Run(Request("k"), SteadyNow()).code == Code::kOk));
   BOOST_TEST(!runner.Flush(SteadyNow() + Millis(50)));
-  BOOST_TEST(runner.unstored() == 1U);
+  BOOST_TEST(runner.unstored_buckets() == 1U);
   platform.Refuse(false);
   BOOST_TEST(runner.Flush(SteadyNow() + kHang));
   const auto answer = runner.Run(Request("k"), SteadyNow());
--- a/packages/records/tests/record_world.h
+++ b/packages/records/tests/record_world.h
@@ -47,7 +47,7 @@
 };
 
 struct RecordInstance {
-  int life = 0;
+  int incarnation = 0;
   uint64_t last_id = 0;
   int paused = 0;
   std::map<std::string, Committer> committers;
@@ -67,7 +67,7 @@
   std::map<std::string, int> executed;
   std::map<std::string, std::string> results;
   int done = 0;
-  int broken_promises = 0;
+  int violations = 0;
 
   explicit RecordWorld(uint64_t seed) : random(seed) {
     rules.window = Millis(3000);
@@ -84,14 +84,14 @@
     committer.rules = rules;
     for (const auto& action : Step(&committer, event)) {
       if (const auto* decided = std::get_if<Decided>(&action)) {
-        TakeVerdict(it, *decided);
+        HandleVerdict(it, *decided);
       } else {
         it->calls.insert_or_assign(bucket, action);
       }
     }
   }
 
-  void TakeVerdict(RecordInstance* it, const Decided& decided) {
+  void HandleVerdict(RecordInstance* it, const Decided& decided) {
     for (auto& record : it->running) {
       if (record.id != decided.id || record.answer) continue;
       const auto answer = AnswerToClaim(record.plan.claim, decided.verdict);
@@ -102,12 +102,12 @@
 
   void Finish(RunningRecord* record, const RecordAnswer& answer) {
     record->answer = answer;
-    if (answer.ran == Ran::kNo && record->has_executed) ++broken_promises;
+    if (answer.ran == Ran::kNo && record->has_executed) ++violations;
     const bool is_done = answer.code == Code::kOk;
     if (!is_done) return;
     ++done;
     const std::string& key = record->plan.claim.key;
-    if (executed[key] != 1 || results[key] != answer.result) ++broken_promises;
+    if (executed[key] != 1 || results[key] != answer.result) ++violations;
   }
 
   // Starts a record; returns its index among the instance's records.
@@ -120,7 +120,7 @@
     record.id = ++it->last_id;
     const auto instance = static_cast<size_t>(it - instances.data());
     const std::string token = std::to_string(instance) + "." +
-                              std::to_string(it->life) + "." +
+                              std::to_string(it->incarnation) + "." +
                               std::to_string(record.id);
     const auto plan = PlanClaim(rules, record.request, token, wall);
     if (!IsOk(plan)) {
@@ -134,7 +134,7 @@
     return it->running.size() - 1;
   }
 
-  void CommitLater(RecordInstance* it, const std::string& bucket,
+  void CommitAsync(RecordInstance* it, const std::string& bucket,
                    const Change& change) {
     const uint64_t id = ++it->last_id;
     Advance(it, bucket, Submit{id, change});
@@ -151,20 +151,20 @@
       record->has_executed = true;
       results[claim.key] = result.result;
     }
-    const AfterDispatch after = TakeDispatch(claim, result);
-    Finish(record, after.answer);
-    if (after.change) CommitLater(it, record->plan.bucket, *after.change);
+    const DispatchDecision decision = HandleDispatchResult(claim, result);
+    Finish(record, decision.answer);
+    if (decision.change) CommitAsync(it, record->plan.bucket, *decision.change);
   }
 
-  void PassDeadline(RecordInstance* it, size_t n) {
+  void ExpireDeadline(RecordInstance* it, size_t n) {
     RunningRecord* record = &it->running[n];
     if (record->answer) return;
     const Claim claim = record->plan.claim;
     const std::string bucket = record->plan.bucket;
     if (record->may_dispatch) {
       record->may_dispatch = false;
-      Finish(record, AnswerTooLate());
-      CommitLater(it, bucket,
+      Finish(record, DeadlineAnswer());
+      CommitAsync(it, bucket,
                   ReleaseClaim{claim.key, claim.epoch, claim.token});
       return;
     }
@@ -198,7 +198,7 @@
   }
 
   // Performs all outstanding calls without faults.
-  void Settle() {
+  void PerformAllCalls() {
     for (auto& it : instances) {
       while (!it.calls.empty())
         Call(&it, it.calls.begin()->first, Fault::kNone);
--- a/packages/scenario/src/world_queries.cc
+++ b/packages/scenario/src/world_queries.cc
@@ -154,7 +154,7 @@
 
 // The daemon's PartService says so every few milliseconds while a part runs.
 void World::NoticePart(Node* node, const limits::PartOrigin& origin) {
-  LaterOnNode(node, now() + daemon::PartService::kNoticeInterval,
+  LaterOnNode(node, now() + daemon::PartService::kHeartbeatInterval,
               [this, node, origin] {
                 if (!node->parts.contains(origin)) return;
                 if (origin.instance != node->id) {
--- a/packages/settings/include/hibiscuspick/settings/config_store.h
+++ b/packages/settings/include/hibiscuspick/settings/config_store.h
@@ -54,14 +54,14 @@
   // has answered. A new platform answers that it is empty, at revision 0;
   // operators may then write the first objects, though there is nothing to
   // serve yet.
-  bool known = false;
+  bool loaded = false;
   // Counts changes of `objects` and `complete_to`, so that a caller can check
   // cheaply whether a derived value is still valid. Local to this process.
   uint64_t generation = 0;
 };
 
 // The result of applying a delta.
-struct Applied {
+struct ApplyResult {
   // Names of the objects that were replaced by a newer version.
   std::vector<std::string> changed;
   // Also true for the first answer from the platform, so that the view is
@@ -79,7 +79,7 @@
 // Applies a delta from another instance, or an accepted write (as a delta with
 // after == complete_to == 0 and one object). Raises the watermark only if the
 // delta follows on it without a gap.
-Applied ApplyDelta(ConfigStore* store, const ConfigDelta& delta);
+ApplyResult ApplyDelta(ConfigStore* store, const ConfigDelta& delta);
 
 // Applies the platform's answer to a list or watch after `delta.after`.
 // `newest_at_request` is ConfigStore::newest when the request was sent: if the
@@ -88,8 +88,8 @@
 // 0 the answer is a full listing, and each object that the platform holds in an
 // older version than the store, although its revision has passed the store's
 // version, raises the same alarm.
-Applied ApplyFromPlatform(ConfigStore* store, const ConfigDelta& delta,
-                          Revision known);
+ApplyResult ApplyFromPlatform(ConfigStore* store, const ConfigDelta& delta,
+                              Revision newest_at_request);
 
 // The changes after `after`; 0 gives all objects.
 ConfigDelta DeltaSince(const ConfigStore& store, Revision after);
--- a/packages/settings/include/hibiscuspick/settings/configuration.h
+++ b/packages/settings/include/hibiscuspick/settings/configuration.h
@@ -31,7 +31,7 @@
   // ConfigStore::newest.
   Revision newest;
   // ConfigStore::loaded: while false, the absence of an object means nothing.
-  bool known = false;
+  bool loaded = false;
   std::unordered_map<ServiceId, Service> services;
   std::unordered_map<RouteId, Route> routes;
   std::unordered_map<SnapshotName, Manifests> snapshots;
@@ -56,7 +56,7 @@
 // parsed (a newer release may write a format unknown to this one) keeps its
 // value from `previous`, if there is one, and is listed in the warnings.
 std::shared_ptr<const Configuration> BuildConfiguration(
-    const ConfigStore& store, const Configuration* last = nullptr);
+    const ConfigStore& store, const Configuration* previous = nullptr);
 
 // The newest manifest, or nullptr if there is none.
 std::shared_ptr<const Snapshot> NewestManifest(const Configuration& it,
--- a/packages/settings/include/hibiscuspick/settings/cross_check.h
+++ b/packages/settings/include/hibiscuspick/settings/cross_check.h
@@ -29,11 +29,11 @@
 // Checks a value that is to replace `current` (nullptr for a new object).
 CheckedWrite CheckWrite(const Configuration& configuration,
                         const ObjectName& name, const Json& value,
-                        const Envelope* present);
+                        const Envelope* current);
 
 // Inconsistencies that deleting the object would introduce.
-std::vector<Fault> WarningsOfDeletion(const Configuration& configuration,
-                                      const ObjectName& name);
+std::vector<Fault> DeletionWarnings(const Configuration& configuration,
+                                    const ObjectName& name);
 
 // All inconsistencies between objects of the configuration; `place` starts
 // with the object's name.
--- a/packages/settings/include/hibiscuspick/settings/daemon_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/daemon_settings.h
@@ -59,7 +59,7 @@
   int platform_call_burst = 100;
   Millis platform_timeout{2000};
   // The timeout of one long-polling watch request.
-  Millis platform_watch{10000};
+  Millis platform_watch_timeout{10000};
 };
 
 // Looks up an environment variable; nullopt if it isn't set.
--- a/packages/settings/include/hibiscuspick/settings/edge_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/edge_settings.h
@@ -23,10 +23,10 @@
   Address readiness;
   Address store;
   // Where peers fetch server state, and where they forward queries to.
-  Address news;
-  Address queries;
+  Address updates;
+  Address peer_queries;
   // CPU share of the process, in cores.
-  double processor = 1;
+  double cpu_cores = 1;
 
   // The fleet's limit on hedges and retries, as a share of a service's first
   // attempts within any window.
@@ -45,7 +45,7 @@
   std::map<DataCentreId, std::string> regions;
 
   // The time from the stop signal until the process is killed.
-  Millis grace{6000};
+  Millis shutdown_grace{6000};
 
   // Switches for experiments.
   Mechanisms mechanisms;
--- a/packages/settings/include/hibiscuspick/settings/envelope.h
+++ b/packages/settings/include/hibiscuspick/settings/envelope.h
@@ -29,13 +29,13 @@
 
 // A write's id and the version it produced. A writer doesn't know its own
 // version in advance, so the next write fills it in; 0 for the last write.
-struct WriteMark {
+struct WriteRecord {
   std::string id;
   Revision version;
 };
 
 // A manifest that was replaced by a later one.
-struct EarlierValue {
+struct PreviousValue {
   Revision version;
   Json value;
 };
@@ -43,9 +43,9 @@
 struct Envelope {
   bool deleted = false;
   // Oldest first.
-  std::vector<WriteMark> writes;
+  std::vector<WriteRecord> writes;
   // Newest first.
-  std::vector<EarlierValue> previous;
+  std::vector<PreviousValue> previous;
   // Null when deleted.
   Json value;
 };
@@ -62,7 +62,7 @@
 // version is `version`. A null `value` deletes the object. With
 // `keep_manifests` the replaced value is added to `previous`, unless the new
 // one has the same index_version.
-Envelope NextEnvelope(const std::optional<Envelope>& present, Revision version,
+Envelope NextEnvelope(const std::optional<Envelope>& current, Revision version,
                       Json value, const std::string& write_id,
                       bool keep_manifests);
 
--- a/packages/settings/include/hibiscuspick/settings/faults.h
+++ b/packages/settings/include/hibiscuspick/settings/faults.h
@@ -20,13 +20,13 @@
 using Checked = std::variant<T, std::vector<Fault>>;
 
 template <class T>
-bool IsGood(const Checked<T>& it) {
+bool IsValid(const Checked<T>& it) {
   return std::holds_alternative<T>(it);
 }
 
 // The value; requires IsValid.
 template <class T>
-const T& GoodOf(const Checked<T>& it) {
+const T& ValidValue(const Checked<T>& it) {
   return *std::get_if<T>(&it);
 }
 
--- a/packages/settings/include/hibiscuspick/settings/json_reader.h
+++ b/packages/settings/include/hibiscuspick/settings/json_reader.h
@@ -24,8 +24,8 @@
 bool IsName(std::string_view text);
 
 struct IntegerRange {
-  int64_t least;
-  int64_t most;
+  int64_t min;
+  int64_t max;
 };
 
 // A getter records a fault and returns the fallback (or an empty value) if the
@@ -55,10 +55,10 @@
                 std::optional<size_t> fallback = std::nullopt);
 
   // Records a fault for the field.
-  void Add(const std::string& key, std::string message);
+  void AddFault(const std::string& key, std::string message);
   // Records a fault for every key that was not read before. Must be called
   // last.
-  void RefuseUnknown();
+  void RejectUnknownKeys();
 
   std::string PathOf(const std::string& key) const { return path_ + "." + key; }
 
@@ -66,7 +66,7 @@
   const Json& value_;
   const std::string path_;
   std::vector<Fault>* const faults_;
-  std::set<std::string> asked_;
+  std::set<std::string> requested_keys_;
 };
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/include/hibiscuspick/settings/settings_keys.h
+++ b/packages/settings/include/hibiscuspick/settings/settings_keys.h
@@ -71,8 +71,8 @@
   std::string_view name;
   KeyType type;
   double fallback;
-  double least;
-  double most;
+  double min;
+  double max;
   // Bit 1 << Level for each level that may set the key.
   unsigned levels;
   // A level below the data centre can only lower the value: a customer,
@@ -92,7 +92,7 @@
 // The choices of a kChoice key, in the order of their values; empty for others.
 std::span<const std::string_view> ChoicesOf(Key key);
 
-bool MayStandAt(const KeyRow& row, Level level);
+bool IsAllowedAt(const KeyRow& row, Level level);
 
 enum class SendingPolicy { kOwner, kDirect };
 
--- a/packages/settings/src/config_store.cc
+++ b/packages/settings/src/config_store.cc
@@ -9,15 +9,15 @@
 namespace hibiscuspick::settings {
 namespace {
 
-Error WentBack(const std::string& place, std::string message) {
+Error MakeWentBackError(const std::string& place, std::string message) {
   return Error{Code::kPlatformWentBack, place, std::move(message)};
 }
 
 void ApplyObject(ConfigStore* store, const ConfigObject& object,
-                 Applied* applied) {
-  auto& known = store->objects[object.name];
-  if (object.version > known.version) {
-    known = object;
+                 ApplyResult* applied) {
+  auto& current = store->objects[object.name];
+  if (object.version > current.version) {
+    current = object;
     store->newest = std::max(store->newest, object.version);
     applied->changed.push_back(object.name);
     return;
@@ -25,15 +25,15 @@
   // One version with two contents: the platform's counter was reset and it
   // assigned the number again. Neither text is preferable, but instances would
   // differ permanently and silently, so raise an alarm.
-  if (object.version == known.version && object.text != known.text) {
-    applied->alarms.push_back(WentBack(
+  if (object.version == current.version && object.text != current.text) {
+    applied->alarms.push_back(MakeWentBackError(
         object.name, "version " + std::to_string(object.version.value) +
                          " has two different contents"));
   }
 }
 
 void ApplyObjects(ConfigStore* store, const ConfigDelta& delta,
-                  Applied* applied) {
+                  ApplyResult* applied) {
   for (const auto& it : delta.objects) {
     if (it.version.value != 0) ApplyObject(store, it, applied);
   }
@@ -41,7 +41,7 @@
   if (!applied->gap && delta.complete_to > store->complete_to) {
     store->complete_to = delta.complete_to;
     store->newest = std::max(store->newest, delta.complete_to);
-    store->known = true;
+    store->loaded = true;
     applied->watermark_raised = true;
   }
   if (applied->watermark_raised || !applied->changed.empty()) {
@@ -51,44 +51,46 @@
 
 // Finds objects of the store that a full listing lacks or has in an older
 // version, although its revision has passed the store's version.
-void FindOlder(const ConfigStore& store, const ConfigDelta& whole,
-               Applied* applied) {
+void ReportOlderObjects(const ConfigStore& store, const ConfigDelta& listing,
+                        ApplyResult* applied) {
   std::map<std::string_view, Revision> listed;
-  for (const auto& it : whole.objects) listed[it.name] = it.version;
-  for (const auto& [name, known] : store.objects) {
+  for (const auto& it : listing.objects) listed[it.name] = it.version;
+  for (const auto& [name, current] : store.objects) {
     const auto it = listed.find(name);
-    const Revision there = it == listed.end() ? Revision() : it->second;
-    if (there < known.version && known.version <= whole.complete_to) {
-      applied->alarms.push_back(
-          WentBack(name, "version " + std::to_string(known.version.value) +
-                             " is in force, but the platform has version " +
-                             std::to_string(there.value)));
+    const Revision platform_version =
+        it == listed.end() ? Revision() : it->second;
+    if (platform_version < current.version &&
+        current.version <= listing.complete_to) {
+      applied->alarms.push_back(MakeWentBackError(
+          name, "version " + std::to_string(current.version.value) +
+                    " is in force, but the platform has version " +
+                    std::to_string(platform_version.value)));
     }
   }
 }
 
 }  // namespace
 
-Applied ApplyDelta(ConfigStore* store, const ConfigDelta& delta) {
-  Applied applied;
+ApplyResult ApplyDelta(ConfigStore* store, const ConfigDelta& delta) {
+  ApplyResult applied;
   ApplyObjects(store, delta, &applied);
   return applied;
 }
 
-Applied ApplyFromPlatform(ConfigStore* store, const ConfigDelta& delta,
-                          Revision known) {
-  Applied applied;
-  if (delta.complete_to < known) {
-    applied.alarms.push_back(WentBack(
+ApplyResult ApplyFromPlatform(ConfigStore* store, const ConfigDelta& delta,
+                              Revision newest_at_request) {
+  ApplyResult applied;
+  if (delta.complete_to < newest_at_request) {
+    applied.alarms.push_back(MakeWentBackError(
         "", "the platform is at revision " +
                 std::to_string(delta.complete_to.value) + ", but revision " +
-                std::to_string(known.value) + " is in force"));
+                std::to_string(newest_at_request.value) + " is in force"));
     return applied;
   }
-  if (delta.after.value == 0) FindOlder(*store, delta, &applied);
+  if (delta.after.value == 0) ReportOlderObjects(*store, delta, &applied);
   ApplyObjects(store, delta, &applied);
-  if (!store->known) {
-    store->known = true;
+  if (!store->loaded) {
+    store->loaded = true;
     applied.watermark_raised = true;
     ++store->generation;
   }
--- a/packages/settings/src/configuration.cc
+++ b/packages/settings/src/configuration.cc
@@ -19,8 +19,8 @@
                               Configuration* out) {
   const ServiceId id(name.rest);
   const auto service = ReadService(id, value);
-  if (!IsGood(service)) return FaultsOf(service);
-  out->services[id] = GoodOf(service);
+  if (!IsValid(service)) return FaultsOf(service);
+  out->services[id] = ValidValue(service);
   return {};
 }
 
@@ -28,8 +28,8 @@
                             Configuration* out) {
   const RouteId id(name.rest);
   const auto route = ReadRoute(id, value);
-  if (!IsGood(route)) return FaultsOf(route);
-  out->routes[id] = GoodOf(route);
+  if (!IsValid(route)) return FaultsOf(route);
+  out->routes[id] = ValidValue(route);
   return {};
 }
 
@@ -38,14 +38,15 @@
 std::vector<Fault> AddSnapshot(const ObjectName& name, Revision version,
                                const Envelope& envelope, Configuration* out) {
   const SnapshotName id(name.rest);
-  const auto present = ReadSnapshot(id, version, envelope.value);
-  if (!IsGood(present)) return FaultsOf(present);
+  const auto current = ReadSnapshot(id, version, envelope.value);
+  if (!IsValid(current)) return FaultsOf(current);
   std::vector<Fault> faults;
-  Manifests manifests = {std::make_shared<const Snapshot>(GoodOf(present))};
+  Manifests manifests = {std::make_shared<const Snapshot>(ValidValue(current))};
   for (const auto& it : envelope.previous) {
     const auto earlier = ReadSnapshot(id, it.version, it.value);
-    if (IsGood(earlier)) {
-      manifests.push_back(std::make_shared<const Snapshot>(GoodOf(earlier)));
+    if (IsValid(earlier)) {
+      manifests.push_back(
+          std::make_shared<const Snapshot>(ValidValue(earlier)));
     }
     for (auto& fault : FaultsOf(earlier)) faults.push_back(std::move(fault));
   }
@@ -57,8 +58,8 @@
                             Configuration* out) {
   const auto path = ParseTreePath(name.rest);
   const auto values = ReadLevelValues(path->level, value);
-  if (!IsGood(values)) return FaultsOf(values);
-  SetLevel(&out->settings, *path, GoodOf(values));
+  if (!IsValid(values)) return FaultsOf(values);
+  SetLevel(&out->settings, *path, ValidValue(values));
   return {};
 }
 
@@ -102,7 +103,8 @@
 }
 
 // Updates the view from one changed object.
-std::vector<Fault> TakeObject(const ConfigObject& object, Configuration* out) {
+std::vector<Fault> UpdateFromObject(const ConfigObject& object,
+                                    Configuration* out) {
   const auto name = ParseObjectName(object.name);
   if (!name) return {{Code::kInvalidValue, "", "unknown kind of object"}};
   const auto parsed = ReadEnvelopeText(object.text);
@@ -116,11 +118,11 @@
 }
 
 // Updates the view if the object differs from the one it was built from.
-bool TakeIfChanged(const ConfigObject& object, Configuration* out) {
-  auto& known = out->objects[object.name];
-  if (known.version == object.version) return false;
-  known = object;
-  auto faults = TakeObject(object, out);
+bool UpdateIfChanged(const ConfigObject& object, Configuration* out) {
+  auto& current = out->objects[object.name];
+  if (current.version == object.version) return false;
+  current = object;
+  auto faults = UpdateFromObject(object, out);
   if (faults.empty()) {
     out->unreadable.erase(object.name);
   } else {
@@ -129,7 +131,7 @@
   return true;
 }
 
-std::vector<Fault> AllWarnings(const Configuration& configuration) {
+std::vector<Fault> CollectWarnings(const Configuration& configuration) {
   std::vector<Fault> warnings;
   for (const auto& [name, faults] : configuration.unreadable) {
     for (const auto& it : faults) {
@@ -150,17 +152,17 @@
 }  // namespace
 
 std::shared_ptr<const Configuration> BuildConfiguration(
-    const ConfigStore& store, const Configuration* last) {
-  auto out = last ? std::make_shared<Configuration>(*last)
-                  : std::make_shared<Configuration>();
+    const ConfigStore& store, const Configuration* previous) {
+  auto out = previous ? std::make_shared<Configuration>(*previous)
+                      : std::make_shared<Configuration>();
   out->complete_to = store.complete_to;
   out->newest = store.newest;
-  out->known = store.known;
+  out->loaded = store.loaded;
   bool changed = false;
   for (const auto& [name, object] : store.objects) {
-    if (TakeIfChanged(object, out.get())) changed = true;
+    if (UpdateIfChanged(object, out.get())) changed = true;
   }
-  if (changed) out->warnings = AllWarnings(*out);
+  if (changed) out->warnings = CollectWarnings(*out);
   return out;
 }
 
--- a/packages/settings/src/cross_check.cc
+++ b/packages/settings/src/cross_check.cc
@@ -25,7 +25,7 @@
 // Records the owner. Of two owners it keeps the one whose name sorts first, so
 // that all instances name the same.
 template <class Map, class Place>
-void NoteOwner(Map* owners, const Place& place, const ServiceId& service) {
+void RecordOwner(Map* owners, const Place& place, const ServiceId& service) {
   const auto [it, inserted] = owners->emplace(place, service);
   if (!inserted && service < it->second) it->second = service;
 }
@@ -37,8 +37,8 @@
 
   void Add(const Service& service) {
     for (const auto& it : service.backend_servers) {
-      NoteOwner(&by_id, it.id, service.id);
-      NoteOwner(&by_address, it.address, service.id);
+      RecordOwner(&by_id, it.id, service.id);
+      RecordOwner(&by_address, it.address, service.id);
     }
   }
   // Another service that has the server; nullopt if there is none.
@@ -71,10 +71,10 @@
 }
 
 ServerIndex IndexOthers(const Configuration& configuration,
-                        const ServiceId& left_out) {
+                        const ServiceId& excluded) {
   ServerIndex index;
   for (const auto& [id, service] : configuration.services) {
-    if (id != left_out) index.Add(service);
+    if (id != excluded) index.Add(service);
   }
   return index;
 }
@@ -110,15 +110,15 @@
 }
 
 // The object's last manifest, even if the object has been deleted since.
-std::optional<Snapshot> LastManifest(const Envelope& present) {
-  Json value = present.value;
-  if (present.deleted) {
-    if (present.previous.empty()) return std::nullopt;
-    value = present.previous.front().value;
+std::optional<Snapshot> LastManifest(const Envelope& current) {
+  Json value = current.value;
+  if (current.deleted) {
+    if (current.previous.empty()) return std::nullopt;
+    value = current.previous.front().value;
   }
   const auto snapshot = ReadSnapshot(SnapshotName(), Revision(), value);
-  if (!IsGood(snapshot)) return std::nullopt;
-  return GoodOf(snapshot);
+  if (!IsValid(snapshot)) return std::nullopt;
+  return ValidValue(snapshot);
 }
 
 // The index version identifies the indexes to backend servers and queries. If
@@ -140,16 +140,16 @@
 }
 
 // Inconsistencies that a change introduces.
-std::vector<Fault> FreshMismatches(const Configuration& before,
-                                   const Configuration& after) {
-  const auto known = FindMismatches(before);
-  auto fresh = FindMismatches(after);
-  std::erase_if(fresh, [&](const Fault& it) {
-    return std::any_of(known.begin(), known.end(), [&](const Fault& old) {
+std::vector<Fault> NewMismatches(const Configuration& before,
+                                 const Configuration& after) {
+  const auto existing = FindMismatches(before);
+  auto introduced = FindMismatches(after);
+  std::erase_if(introduced, [&](const Fault& it) {
+    return std::any_of(existing.begin(), existing.end(), [&](const Fault& old) {
       return old.place == it.place && old.message == it.message;
     });
   });
-  return fresh;
+  return introduced;
 }
 
 void CheckService(const Configuration& configuration, const ObjectName& name,
@@ -157,25 +157,26 @@
   const ServiceId id(name.rest);
   const auto service = ReadService(id, value);
   out->faults = FaultsOf(service);
-  if (!IsGood(service)) return;
-  out->faults = SharedServers(IndexOthers(configuration, id), GoodOf(service));
+  if (!IsValid(service)) return;
+  out->faults =
+      SharedServers(IndexOthers(configuration, id), ValidValue(service));
   Configuration after = configuration;
-  after.services[id] = GoodOf(service);
-  out->warnings = FreshMismatches(configuration, after);
+  after.services[id] = ValidValue(service);
+  out->warnings = NewMismatches(configuration, after);
 }
 
 void CheckSnapshot(const Configuration& configuration, const ObjectName& name,
-                   const Json& value, const Envelope* present,
+                   const Json& value, const Envelope* current,
                    CheckedWrite* out) {
   const auto snapshot =
       ReadSnapshot(SnapshotName(name.rest), Revision(), value);
   out->faults = FaultsOf(snapshot);
-  if (!IsGood(snapshot)) return;
-  out->faults = MissingServers(configuration, GoodOf(snapshot));
-  if (!present) return;
-  const auto last = LastManifest(*present);
+  if (!IsValid(snapshot)) return;
+  out->faults = MissingServers(configuration, ValidValue(snapshot));
+  if (!current) return;
+  const auto last = LastManifest(*current);
   if (!last) return;
-  for (auto& it : VersionFaults(*last, GoodOf(snapshot))) {
+  for (auto& it : VersionFaults(*last, ValidValue(snapshot))) {
     out->faults.push_back(std::move(it));
   }
 }
@@ -205,8 +206,8 @@
                 const Json& value, CheckedWrite* out) {
   const auto route = ReadRoute(RouteId(name.rest), value);
   out->faults = FaultsOf(route);
-  if (IsGood(route)) {
-    out->warnings = RouteMismatches(configuration, GoodOf(route));
+  if (IsValid(route)) {
+    out->warnings = RouteMismatches(configuration, ValidValue(route));
   }
 }
 
@@ -215,10 +216,10 @@
   const BackendServerId server(name.rest);
   out->faults = FaultsOf(ReadDrain(server, value));
   const auto& services = configuration.services;
-  const bool known =
+  const bool exists =
       std::any_of(services.begin(), services.end(),
                   [&](const auto& it) { return HasServer(it.second, server); });
-  if (!known) {
+  if (!exists) {
     out->warnings.push_back(
         MakeFault("$", "no service has a server " + server.text));
   }
@@ -237,7 +238,7 @@
 
 CheckedWrite CheckWrite(const Configuration& configuration,
                         const ObjectName& name, const Json& value,
-                        const Envelope* present) {
+                        const Envelope* current) {
   CheckedWrite out;
   switch (name.kind) {
     case ObjectKind::kService:
@@ -247,7 +248,7 @@
       CheckRoute(configuration, name, value, &out);
       break;
     case ObjectKind::kSnapshot:
-      CheckSnapshot(configuration, name, value, present, &out);
+      CheckSnapshot(configuration, name, value, current, &out);
       break;
     case ObjectKind::kSettings:
       out.faults =
@@ -260,8 +261,8 @@
   return out;
 }
 
-std::vector<Fault> WarningsOfDeletion(const Configuration& configuration,
-                                      const ObjectName& name) {
+std::vector<Fault> DeletionWarnings(const Configuration& configuration,
+                                    const ObjectName& name) {
   Configuration after = configuration;
   if (name.kind == ObjectKind::kService) {
     after.services.erase(ServiceId(name.rest));
@@ -270,7 +271,7 @@
   } else {
     return {};
   }
-  return FreshMismatches(configuration, after);
+  return NewMismatches(configuration, after);
 }
 
 std::vector<Fault> FindMismatches(const Configuration& configuration) {
--- a/packages/settings/src/daemon_settings.cc
+++ b/packages/settings/src/daemon_settings.cc
@@ -15,20 +15,20 @@
 std::string ReadSecret(JsonReader* reader, const std::string& key,
                        const EnvironmentLookup& environment) {
   const std::string env_key = key + "_env";
-  const bool named = reader->Has(env_key);
+  const bool from_environment = reader->Has(env_key);
   std::string secret = reader->Text(key, "");
   const std::string variable = reader->Text(env_key, "");
-  if (reader->Has(key) && named) {
-    reader->Add(env_key,
-                "is set together with " + key + "; set only one of the two");
+  if (reader->Has(key) && from_environment) {
+    reader->AddFault(
+        env_key, "is set together with " + key + "; set only one of the two");
     return secret;
   }
-  if (named) secret = environment(variable).value_or("");
+  if (from_environment) secret = environment(variable).value_or("");
   if (secret.empty()) {
-    reader->Add(
-        named ? env_key : key,
-        named ? "the environment variable " + variable + " is not set or empty"
-              : "is missing or empty");
+    reader->AddFault(from_environment ? env_key : key,
+                     from_environment ? "the environment variable " + variable +
+                                            " is not set or empty"
+                                      : "is missing or empty");
   }
   return secret;
 }
@@ -44,7 +44,7 @@
   out->callers = reader.IpAddress("callers");
   out->operators = reader.IpAddress("operators");
   out->inner = reader.IpAddress("inner");
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (out->callers.port == 0) return;
   if (out->callers == out->operators || out->callers == out->inner ||
       out->operators == out->inner) {
@@ -64,7 +64,7 @@
   out->max_operator_connections =
       ReadInt(&reader, "max_operator_connections", {1, 1024},
               out->max_operator_connections);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
 }
 
 void ReadPeers(JsonReader* root, DaemonSettings* out,
@@ -94,9 +94,9 @@
       ReadInt(&reader, "burst", {1, 10000}, out->platform_call_burst);
   out->platform_timeout =
       ReadMillis(&reader, "timeout_ms", {50, 60000}, out->platform_timeout);
-  out->platform_watch =
-      ReadMillis(&reader, "watch_ms", {100, 60000}, out->platform_watch);
-  reader.RefuseUnknown();
+  out->platform_watch_timeout = ReadMillis(&reader, "watch_ms", {100, 60000},
+                                           out->platform_watch_timeout);
+  reader.RejectUnknownKeys();
 }
 
 }  // namespace
@@ -123,7 +123,7 @@
       ReadMillis(&reader, "stop_timeout_ms", {0, kHour}, out.stop_timeout);
   ReadTraffic(&reader, &out, &faults);
   ReadPlatformCalls(&reader, &out, &faults);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (!faults.empty()) return faults;
   return out;
 }
--- a/packages/settings/src/edge_settings.cc
+++ b/packages/settings/src/edge_settings.cc
@@ -10,18 +10,18 @@
 namespace hibiscuspick::settings {
 namespace {
 
-// A number from 0 to `most`, which may have a fraction.
-double ReadFraction(JsonReader* reader, const std::string& key, double most,
+// A number from 0 to `max`, which may have a fraction.
+double ReadFraction(JsonReader* reader, const std::string& key, double max,
                     double fallback) {
   const Json* field = reader->Find(key);
   if (field == nullptr) return fallback;
   if (!field->is_number()) {
-    reader->Add(key, "must be a number");
+    reader->AddFault(key, "must be a number");
     return fallback;
   }
   const double value = field->get<double>();
-  if (value >= 0 && value <= most) return value;
-  reader->Add(key, "must be from 0 to " + std::to_string(most));
+  if (value >= 0 && value <= max) return value;
+  reader->AddFault(key, "must be from 0 to " + std::to_string(max));
   return fallback;
 }
 
@@ -29,41 +29,41 @@
                std::vector<Fault>* faults) {
   JsonReader reader(Section(edge, "extra_attempts"), "$.edge.extra_attempts",
                     faults);
-  constexpr double kMostRatio = 10;
-  constexpr double kMostSlack = 1e6;
+  constexpr double kMaxRatio = 10;
+  constexpr double kMaxSlack = 1e6;
   out->extra_ratio =
-      ReadFraction(&reader, "ratio", kMostRatio, out->extra_ratio);
+      ReadFraction(&reader, "ratio", kMaxRatio, out->extra_ratio);
   out->extra_window =
       ReadMillis(&reader, "window_ms", {100, kHour}, out->extra_window);
   out->extra_slack =
-      ReadFraction(&reader, "slack", kMostSlack, out->extra_slack);
-  reader.RefuseUnknown();
+      ReadFraction(&reader, "slack", kMaxSlack, out->extra_slack);
+  reader.RejectUnknownKeys();
 }
 
 void ReadCold(JsonReader* edge, EdgeSettings* out, std::vector<Fault>* faults) {
   JsonReader reader(Section(edge, "cold_servers"), "$.edge.cold_servers",
                     faults);
-  constexpr double kMostOverage = 100;
-  constexpr double kMostSlack = 1e6;
+  constexpr double kMaxOverage = 100;
+  constexpr double kMaxSlack = 1e6;
   out->cold_overage =
-      ReadFraction(&reader, "overage", kMostOverage, out->cold_overage);
-  out->cold_slack = ReadFraction(&reader, "slack", kMostSlack, out->cold_slack);
-  reader.RefuseUnknown();
+      ReadFraction(&reader, "overage", kMaxOverage, out->cold_overage);
+  out->cold_slack = ReadFraction(&reader, "slack", kMaxSlack, out->cold_slack);
+  reader.RejectUnknownKeys();
 }
 
 void ReadRegions(JsonReader* edge, EdgeSettings* out) {
   const Json* field = edge->Find("regions");
   if (field == nullptr) return;
   if (!field->is_object()) {
-    edge->Add("regions", "must be an object");
+    edge->AddFault("regions", "must be an object");
     return;
   }
-  for (const auto& [where, region] : field->items()) {
+  for (const auto& [data_centre, region] : field->items()) {
     if (!region.is_string()) {
-      edge->Add("regions." + where, "must be the name of a region");
+      edge->AddFault("regions." + data_centre, "must be the name of a region");
       continue;
     }
-    out->regions[DataCentreId(where)] = region.get<std::string>();
+    out->regions[DataCentreId(data_centre)] = region.get<std::string>();
   }
 }
 
@@ -74,7 +74,7 @@
     bool& value = out->mechanisms.*it.field;
     value = reader.Flag(std::string(it.name), value);
   }
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
 }
 
 void ReadEdge(JsonReader* root, EdgeSettings* out, std::vector<Fault>* faults) {
@@ -82,20 +82,21 @@
   out->callers = reader.IpAddress("callers");
   out->readiness = reader.IpAddress("readiness");
   out->store = reader.IpAddress("store");
-  out->news = reader.IpAddress("news");
-  out->queries = reader.IpAddress("queries");
-  constexpr double kMostCores = 1024;
-  out->processor =
-      ReadFraction(&reader, "processor", kMostCores, out->processor);
+  out->updates = reader.IpAddress("news");
+  out->peer_queries = reader.IpAddress("queries");
+  constexpr double kMaxCores = 1024;
+  out->cpu_cores =
+      ReadFraction(&reader, "processor", kMaxCores, out->cpu_cores);
   ReadExtra(&reader, out, faults);
   ReadCold(&reader, out, faults);
   ReadRegions(&reader, out);
   ReadPolicy(&reader, out, faults);
   out->instances =
       static_cast<int>(reader.Integer("instances", {1, 10000}, out->instances));
-  out->grace = ReadMillis(&reader, "grace_ms", {1000, kHour}, out->grace);
+  out->shutdown_grace =
+      ReadMillis(&reader, "grace_ms", {1000, kHour}, out->shutdown_grace);
   ReadLog(&reader, "$.edge", &out->log_level, &out->log_format, faults);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
 }
 
 }  // namespace
@@ -115,7 +116,7 @@
   out.instance = InstanceId(reader.NameText("instance"));
   out.data_centre = DataCentreId(reader.NameText("data_centre"));
   ReadEdge(&reader, &out, &faults);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (!faults.empty()) return faults;
   return out;
 }
