--- a/packages/settings/src/envelope.cc
+++ b/packages/settings/src/envelope.cc
@@ -15,8 +15,8 @@
 
 Revision ReadVersion(const Json& entry) {
   const auto it = entry.find(kVersionKey);
-  const bool good = it != entry.end() && it->is_number_unsigned();
-  return Revision(good ? it->get<uint64_t>() : 0);
+  const bool valid = it != entry.end() && it->is_number_unsigned();
+  return Revision(valid ? it->get<uint64_t>() : 0);
 }
 
 const Json& ListOf(const Json& stored, const char* key) {
@@ -31,14 +31,14 @@
 
 // The replaced value followed by the previous ones. Queries pin manifests by
 // index version, so only one manifest of an index version is kept.
-std::vector<EarlierValue> NextPrevious(const Envelope& present,
-                                       Revision version, const Json& value) {
-  auto previous = present.previous;
-  if (!present.deleted) {
-    previous.insert(previous.begin(), {version, present.value});
+std::vector<PreviousValue> NextPrevious(const Envelope& current,
+                                        Revision version, const Json& value) {
+  auto previous = current.previous;
+  if (!current.deleted) {
+    previous.insert(previous.begin(), {version, current.value});
   }
   const Json index_version = IndexVersionOf(value);
-  std::erase_if(previous, [&](const EarlierValue& it) {
+  std::erase_if(previous, [&](const PreviousValue& it) {
     return IndexVersionOf(it.value) == index_version;
   });
   if (previous.size() > kKeptManifests) previous.resize(kKeptManifests);
@@ -92,14 +92,14 @@
   return stored;
 }
 
-Envelope NextEnvelope(const std::optional<Envelope>& present, Revision version,
+Envelope NextEnvelope(const std::optional<Envelope>& current, Revision version,
                       Json value, const std::string& write_id,
                       bool keep_manifests) {
   Envelope next;
-  if (present) {
-    next.writes = present->writes;
+  if (current) {
+    next.writes = current->writes;
     if (!next.writes.empty()) next.writes.back().version = version;
-    if (keep_manifests) next.previous = NextPrevious(*present, version, value);
+    if (keep_manifests) next.previous = NextPrevious(*current, version, value);
   }
   next.writes.push_back({write_id, Revision()});
   if (next.writes.size() > kKeptWriteIds) {
--- a/packages/settings/src/file_fields.cc
+++ b/packages/settings/src/file_fields.cc
@@ -29,12 +29,12 @@
 void ReadLog(JsonReader* parent, const std::string& path, std::string* level,
              LogFormat* format, std::vector<Fault>* faults) {
   JsonReader reader(Section(parent, "log"), path + ".log", faults);
-  const auto place = std::find(kLevels.begin(), kLevels.end(), *level);
-  const auto held = static_cast<size_t>(place - kLevels.begin());
-  *level = kLevels[reader.Choice("level", kLevels, held)];
+  const auto level_it = std::find(kLevels.begin(), kLevels.end(), *level);
+  const auto default_level = static_cast<size_t>(level_it - kLevels.begin());
+  *level = kLevels[reader.Choice("level", kLevels, default_level)];
   *format = static_cast<LogFormat>(
       reader.Choice("format", kFormats, static_cast<size_t>(*format)));
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
 }
 
 }  // namespace hibiscuspick::settings
--- a/packages/settings/src/json_reader.cc
+++ b/packages/settings/src/json_reader.cc
@@ -52,7 +52,7 @@
 }
 
 const Json* JsonReader::Find(const std::string& key) {
-  asked_.insert(key);
+  requested_keys_.insert(key);
   if (!value_.is_object()) return nullptr;
   const auto it = value_.find(key);
   return it == value_.end() ? nullptr : &*it;
@@ -61,7 +61,7 @@
 const Json& JsonReader::Array(const std::string& key) {
   const Json* field = Find(key);
   if (field && field->is_array()) return *field;
-  Add(key, field ? "must be an array" : "is missing");
+  AddFault(key, field ? "must be an array" : "is missing");
   return EmptyArray();
 }
 
@@ -69,11 +69,11 @@
                              const std::optional<std::string>& fallback) {
   const Json* field = Find(key);
   if (!field) {
-    if (!fallback) Add(key, "is missing");
+    if (!fallback) AddFault(key, "is missing");
     return fallback.value_or("");
   }
   if (!field->is_string()) {
-    Add(key, "must be a string");
+    AddFault(key, "must be a string");
     return fallback.value_or("");
   }
   return field->get<std::string>();
@@ -84,9 +84,9 @@
   const size_t before = faults_->size();
   std::string text = Text(key, fallback);
   if (faults_->size() == before && Has(key) && !IsName(text)) {
-    Add(key,
-        "must be a name: at most 100 letters, digits, '.', '_' "
-        "or '-'");
+    AddFault(key,
+             "must be a name: at most 100 letters, digits, '.', '_' "
+             "or '-'");
   }
   return text;
 }
@@ -95,23 +95,23 @@
                             std::optional<int64_t> fallback) {
   const Json* field = Find(key);
   if (!field) {
-    if (!fallback) Add(key, "is missing");
-    return fallback.value_or(range.least);
+    if (!fallback) AddFault(key, "is missing");
+    return fallback.value_or(range.min);
   }
   if (IsInteger(*field)) {
     const auto n = field->get<int64_t>();
-    if (n >= range.least && n <= range.most) return n;
+    if (n >= range.min && n <= range.max) return n;
   }
-  Add(key, "must be a whole number from " + std::to_string(range.least) +
-               " to " + std::to_string(range.most));
-  return fallback.value_or(range.least);
+  AddFault(key, "must be a whole number from " + std::to_string(range.min) +
+                    " to " + std::to_string(range.max));
+  return fallback.value_or(range.min);
 }
 
 bool JsonReader::Flag(const std::string& key, bool fallback) {
   const Json* field = Find(key);
   if (!field) return fallback;
   if (field->is_boolean()) return field->get<bool>();
-  Add(key, "must be true or false");
+  AddFault(key, "must be true or false");
   return fallback;
 }
 
@@ -121,7 +121,7 @@
   if (faults_->size() != before) return {};
   const auto result = ParseAddress(text);
   if (IsOk(result)) return ValueOf(result);
-  Add(key, ErrorOf(result).message);
+  AddFault(key, ErrorOf(result).message);
   return {};
 }
 
@@ -130,7 +130,7 @@
                           std::optional<size_t> fallback) {
   const Json* field = Find(key);
   if (!field) {
-    if (!fallback) Add(key, "is missing");
+    if (!fallback) AddFault(key, "is missing");
     return fallback.value_or(0);
   }
   std::string all;
@@ -138,18 +138,18 @@
     if (*field == words[i]) return i;
     all += (i == 0 ? "" : ", ") + std::string(words[i]);
   }
-  Add(key, "must be one of: " + all);
+  AddFault(key, "must be one of: " + all);
   return fallback.value_or(0);
 }
 
-void JsonReader::Add(const std::string& key, std::string message) {
+void JsonReader::AddFault(const std::string& key, std::string message) {
   faults_->push_back({Code::kInvalidValue, PathOf(key), std::move(message)});
 }
 
-void JsonReader::RefuseUnknown() {
+void JsonReader::RejectUnknownKeys() {
   if (!value_.is_object()) return;
   for (const auto& [key, field] : value_.items()) {
-    if (!asked_.contains(key)) Add(key, "is not a known key");
+    if (!requested_keys_.contains(key)) AddFault(key, "is not a known key");
   }
 }
 
--- a/packages/settings/src/object_json.cc
+++ b/packages/settings/src/object_json.cc
@@ -11,9 +11,10 @@
 
 constexpr int64_t kMaxSlots = 10000;
 constexpr int64_t kMaxConnections = 100000;
-constexpr size_t kMaxReason = 500;
+constexpr size_t kMaxReasonBytes = 500;
 
-constexpr std::array<std::string_view, 2> kPrefers = {"latency", "coverage"};
+constexpr std::array<std::string_view, 2> kPreferNames = {"latency",
+                                                          "coverage"};
 
 std::array<std::string_view, kLaneCount> LaneNames() {
   std::array<std::string_view, kLaneCount> names;
@@ -25,7 +26,8 @@
   return path + "[" + std::to_string(i) + "]";
 }
 
-void Refuse(std::vector<Fault>* faults, std::string path, std::string message) {
+void AddFault(std::vector<Fault>* faults, std::string path,
+              std::string message) {
   faults->push_back({Code::kInvalidValue, std::move(path), std::move(message)});
 }
 
@@ -41,12 +43,12 @@
     const std::string path = ElementPath(reader->PathOf(key), i);
     if (!list[i].is_string() ||
         !IsName(list[i].get_ref<const std::string&>())) {
-      Refuse(faults, path, "must be a name");
+      AddFault(faults, path, "must be a name");
       continue;
     }
     names.emplace_back(list[i].get<std::string>());
     if (!seen.insert(names.back().text).second) {
-      Refuse(faults, path, "is listed twice");
+      AddFault(faults, path, "is listed twice");
     }
   }
   return names;
@@ -63,24 +65,25 @@
       static_cast<int>(reader.Integer("slots", {1, kMaxSlots}, server.slots));
   server.max_connections = static_cast<int>(reader.Integer(
       "max_connections", {1, kMaxConnections}, server.max_connections));
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   return server;
 }
 
 // A duplicate entry for one server would count its slots twice.
-void RefuseDoubleServers(const std::vector<BackendServer>& servers,
-                         const std::string& path, std::vector<Fault>* faults) {
+void RejectDuplicateServers(const std::vector<BackendServer>& servers,
+                            const std::string& path,
+                            std::vector<Fault>* faults) {
   std::set<std::string> ids;
   std::set<Address> addresses;
   for (size_t i = 0; i < servers.size(); ++i) {
     const auto& it = servers[i];
     const std::string element = ElementPath(path, i);
     if (!it.id.empty() && !ids.insert(it.id.text).second) {
-      Refuse(faults, element + ".id", it.id.text + " is listed twice");
+      AddFault(faults, element + ".id", it.id.text + " is listed twice");
     }
     if (it.address.port != 0 && !addresses.insert(it.address).second) {
-      Refuse(faults, element + ".address",
-             ToText(it.address) + " is listed twice");
+      AddFault(faults, element + ".address",
+               ToText(it.address) + " is listed twice");
     }
   }
 }
@@ -95,18 +98,18 @@
       static_cast<uint64_t>(reader.Integer("documents", {0, INT64_MAX}));
   shard.backend_servers =
       ReadNames<BackendServerId>(&reader, "backend_servers", faults);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   return shard;
 }
 
 // The sum of the documents must not overflow, or the coverage would be wrong.
-void RefuseTooManyDocuments(const Snapshot& snapshot,
+void RejectTooManyDocuments(const Snapshot& snapshot,
                             std::vector<Fault>* faults) {
-  constexpr uint64_t kMost = 1ULL << 53;
+  constexpr uint64_t kMaxDocuments = 1ULL << 53;
   uint64_t sum = 0;
   for (const auto& it : snapshot.shards) {
-    if (it.documents > kMost - sum) {
-      Refuse(faults, "$.shards", "more than 2^53 documents in total");
+    if (it.documents > kMaxDocuments - sum) {
+      AddFault(faults, "$.shards", "more than 2^53 documents in total");
       return;
     }
     sum += it.documents;
@@ -139,10 +142,11 @@
         ReadBackendServer(list[i], ElementPath(path, i), &faults));
   }
   if (reader.Has("backend_servers") && list.empty()) {
-    reader.Add("backend_servers", "must contain at least one backend server");
+    reader.AddFault("backend_servers",
+                    "must contain at least one backend server");
   }
-  RefuseDoubleServers(service.backend_servers, path, &faults);
-  reader.RefuseUnknown();
+  RejectDuplicateServers(service.backend_servers, path, &faults);
+  reader.RejectUnknownKeys();
   return Finish(std::move(service), std::move(faults));
 }
 
@@ -154,10 +158,11 @@
   JsonReader reader(value, "$", &faults);
   route.snapshot = SnapshotName(reader.NameText("snapshot"));
   route.lane = kAllLanes[reader.Choice("lane", LaneNames(), kOrdinary)];
-  route.prefer = reader.Choice("prefer", kPrefers, 0) == 0 ? Prefer::kLatency
-                                                           : Prefer::kCoverage;
+  route.prefer = reader.Choice("prefer", kPreferNames, 0) == 0
+                     ? Prefer::kLatency
+                     : Prefer::kCoverage;
   route.services = ReadNames<ServiceId>(&reader, "services", &faults);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   return Finish(std::move(route), std::move(faults));
 }
 
@@ -178,14 +183,14 @@
     snapshot.shards.push_back(ReadShard(list[i], path, &faults));
     const std::string& shard = snapshot.shards.back().shard.text;
     if (!shard.empty() && !seen.insert(shard).second) {
-      Refuse(&faults, path + ".shard", shard + " is listed twice");
+      AddFault(&faults, path + ".shard", shard + " is listed twice");
     }
   }
   if (reader.Has("shards") && list.empty()) {
-    reader.Add("shards", "must contain at least one shard");
+    reader.AddFault("shards", "must contain at least one shard");
   }
-  RefuseTooManyDocuments(snapshot, &faults);
-  reader.RefuseUnknown();
+  RejectTooManyDocuments(snapshot, &faults);
+  reader.RejectUnknownKeys();
   return Finish(std::move(snapshot), std::move(faults));
 }
 
@@ -194,10 +199,10 @@
   Drain drain{server, ""};
   JsonReader reader(value, "$", &faults);
   drain.reason = reader.Text("reason", "");
-  if (drain.reason.size() > kMaxReason) {
-    reader.Add("reason", "is longer than 500 bytes");
+  if (drain.reason.size() > kMaxReasonBytes) {
+    reader.AddFault("reason", "is longer than 500 bytes");
   }
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   return Finish(std::move(drain), std::move(faults));
 }
 
@@ -216,7 +221,7 @@
 Json ToJson(const Route& route) {
   Json value = {{"snapshot", route.snapshot.text},
                 {"lane", LaneName(route.lane)},
-                {"prefer", kPrefers[route.prefer == Prefer::kCoverage]}};
+                {"prefer", kPreferNames[route.prefer == Prefer::kCoverage]}};
   if (!route.services.empty()) value["services"] = NamesToJson(route.services);
   return value;
 }
--- a/packages/settings/src/object_name.cc
+++ b/packages/settings/src/object_name.cc
@@ -26,10 +26,10 @@
   const auto kind = KindOf(text.substr(0, slash));
   if (!kind) return std::nullopt;
   const std::string_view rest = text.substr(slash + 1);
-  const bool good = *kind == ObjectKind::kSettings
-                        ? ParseTreePath(rest).has_value()
-                        : IsName(rest);
-  if (!good) return std::nullopt;
+  const bool valid = *kind == ObjectKind::kSettings
+                         ? ParseTreePath(rest).has_value()
+                         : IsName(rest);
+  if (!valid) return std::nullopt;
   return ObjectName{*kind, std::string(rest)};
 }
 
--- a/packages/settings/src/settings_tree.cc
+++ b/packages/settings/src/settings_tree.cc
@@ -57,9 +57,9 @@
     const auto& link = chain.links[i];
     const auto& value = (*link.values)[static_cast<size_t>(row.key)];
     if (!value) continue;
-    const bool below = link.level > Level::kDataCentre;
-    if (!below) cap = *value;
-    out.capped = below && row.capped && *value > cap;
+    const bool is_below_data_centre = link.level > Level::kDataCentre;
+    if (!is_below_data_centre) cap = *value;
+    out.capped = is_below_data_centre && row.capped && *value > cap;
     out.number = out.capped ? cap : *value;
     out.level = link.level;
   }
@@ -67,7 +67,7 @@
 }
 
 std::string RangeText(const KeyRow& row) {
-  return "from " + Json(row.least).dump() + " to " + Json(row.most).dump();
+  return "from " + Json(row.min).dump() + " to " + Json(row.max).dump();
 }
 
 std::optional<double> ReadChoice(const KeyRow& row, const Json& value) {
@@ -90,7 +90,7 @@
   }
   if (!value.is_number()) return std::nullopt;
   const double n = value.get<double>();
-  if (!(n >= row.least && n <= row.most)) return std::nullopt;
+  if (!(n >= row.min && n <= row.max)) return std::nullopt;
   if (row.type == KeyType::kInteger && n != std::floor(n)) return std::nullopt;
   return n;
 }
@@ -118,7 +118,7 @@
   std::string text = "may only be set at:";
   for (int i = 1; i <= static_cast<int>(Level::kRoute); ++i) {
     const auto level = static_cast<Level>(i);
-    if (MayStandAt(row, level)) text += " " + std::string(LevelName(level));
+    if (IsAllowedAt(row, level)) text += " " + std::string(LevelName(level));
   }
   return text;
 }
@@ -148,14 +148,14 @@
     const Json* field = reader.Find(name);
     if (!field) continue;
     const auto number = ReadNumber(row, *field);
-    if (!MayStandAt(row, level)) {
-      reader.Add(name, LevelsText(row));
+    if (!IsAllowedAt(row, level)) {
+      reader.AddFault(name, LevelsText(row));
     } else if (!number) {
-      reader.Add(name, ExpectedText(row));
+      reader.AddFault(name, ExpectedText(row));
     }
     values[static_cast<size_t>(row.key)] = number;
   }
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (!faults.empty()) return faults;
   return values;
 }
--- a/packages/settings/tests/config_store_test.cc
+++ b/packages/settings/tests/config_store_test.cc
@@ -86,7 +86,7 @@
 
 // The platform is restored from an old backup. Its values must not replace what
 // operators were told is in force; they raise an alarm instead.
-BOOST_AUTO_TEST_CASE(a_restored_platform_is_refused_and_alarmed) {
+BOOST_AUTO_TEST_CASE(a_restored_platform_is_rejected_with_an_alarm) {
   auto store = StoreWith(Revision(20), {Object("settings/system", 18, "new")});
   const auto before = HashOf(store);
   const ConfigDelta old{
@@ -103,7 +103,7 @@
 // revision alone looks right. Comparing the full listing still finds the
 // objects that are older there or missing, and keeps the local ones.
 BOOST_AUTO_TEST_CASE(
-    a_restored_platform_that_went_on_is_found_object_by_object) {
+    a_restored_platform_with_newer_writes_is_detected_by_object) {
   auto store = StoreWith(Revision(20),
                          {Object("settings/system", 18, "new"),
                           Object("routes/gone", 19), Object("routes/same", 4)});
@@ -124,7 +124,7 @@
 // The platform is restored after it accepted writes from this instance that no
 // listing had contained yet. The watermark alone is below the restored
 // revision, so that the old values would be accepted as new ones.
-BOOST_AUTO_TEST_CASE(a_restore_below_single_accepted_writes_is_found) {
+BOOST_AUTO_TEST_CASE(a_restore_below_single_accepted_writes_is_detected) {
   auto store = StoreWith(Revision(53), {Object("settings/system", 53)});
   ApplyDelta(&store, {{}, {}, {Object("settings/system", 56, "accepted")}});
   BOOST_TEST(store.newest.value == 56);
@@ -139,7 +139,7 @@
 // A peer sends newer changes while a watch is still waiting for its answer. The
 // late answer is older than the store by then, but nothing was restored, so it
 // must not raise an alarm.
-BOOST_AUTO_TEST_CASE(a_slow_answer_is_no_restore) {
+BOOST_AUTO_TEST_CASE(a_slow_answer_is_not_a_restore) {
   auto store = StoreWith(Revision(10), {});
   const Revision known = store.newest;
   ApplyDelta(&store, {Revision(10), Revision(14), {Object("routes/a", 14)}});
@@ -152,7 +152,7 @@
 
 // One version with two contents means that the platform's counter was reset and
 // assigned a number twice. Two instances would differ permanently.
-BOOST_AUTO_TEST_CASE(one_version_with_two_contents_is_alarmed) {
+BOOST_AUTO_TEST_CASE(one_version_with_two_contents_raises_an_alarm) {
   auto store = StoreWith(Revision(5), {Object("routes/a", 5, "one")});
   const auto applied = ApplyDelta(
       &store, {Revision(), Revision(5), {Object("routes/a", 5, "two")}});
@@ -163,7 +163,7 @@
 
 // An accepted write is applied before the platform's watch reports it. Other
 // changes before it may still be unknown, so the watermark stays.
-BOOST_AUTO_TEST_CASE(an_accepted_write_leaves_the_watermark) {
+BOOST_AUTO_TEST_CASE(an_accepted_write_does_not_raise_the_watermark) {
   auto store = StoreWith(Revision(5), {});
   const auto generation = store.generation;
   const auto applied = ApplyDelta(&store, {{}, {}, {Object("routes/a", 9)}});
@@ -174,13 +174,13 @@
 
 // All instances start on an empty platform. If its empty answer counted as no
 // answer, no operator could ever write the first object.
-BOOST_AUTO_TEST_CASE(an_empty_platform_is_an_answer) {
+BOOST_AUTO_TEST_CASE(an_empty_platform_counts_as_an_answer) {
   ConfigStore store;
   ApplyDelta(&store, {{}, {}, {}});
-  BOOST_TEST(!store.known);
+  BOOST_TEST(!store.loaded);
   BOOST_TEST(
       ApplyFromPlatform(&store, {{}, {}, {}}, Revision()).watermark_raised);
-  BOOST_TEST(store.known);
+  BOOST_TEST(store.loaded);
   BOOST_TEST(
       !ApplyFromPlatform(&store, {{}, {}, {}}, Revision()).watermark_raised);
   BOOST_TEST(store.complete_to.value == 0);
--- a/packages/settings/tests/configuration_test.cc
+++ b/packages/settings/tests/configuration_test.cc
@@ -15,11 +15,11 @@
 namespace {
 
 // Writes objects as an operator's instance does, without a platform.
-struct Bench {
+struct ConfigFixture {
   hps::ConfigStore store;
   uint64_t version = 0;
 
-  std::optional<hps::Envelope> Present(const std::string& name) const {
+  std::optional<hps::Envelope> CurrentEnvelope(const std::string& name) const {
     const auto it = store.objects.find(name);
     if (it == store.objects.end()) return std::nullopt;
     return ValueOf(hps::ReadEnvelopeText(it->second.text));
@@ -29,7 +29,7 @@
     const Revision last =
         it == store.objects.end() ? Revision() : it->second.version;
     const auto next =
-        NextEnvelope(Present(name), last, std::move(value),
+        NextEnvelope(CurrentEnvelope(name), last, std::move(value),
                      "w" + std::to_string(++version), name[1] == 'n');
     ApplyDelta(&store,
                {Revision(version - 1),
@@ -37,9 +37,9 @@
                 {{name, Revision(version), hp::DumpJson(ToJson(next))}}});
   }
   hps::CheckedWrite Check(const std::string& name, const Json& value) const {
-    const auto present = Present(name);
+    const auto current = CurrentEnvelope(name);
     return CheckWrite(*BuildConfiguration(store), *hps::ParseObjectName(name),
-                      value, present ? &*present : nullptr);
+                      value, current ? &*current : nullptr);
   }
 };
 
@@ -67,10 +67,10 @@
 // Backend servers drop an old index only some time after the new one is
 // announced. An instance that starts in between must still be able to pin it.
 BOOST_AUTO_TEST_CASE(the_last_two_manifests_stay_pinnable) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
-  for (int i = 1; i <= 4; ++i) bench.Put("snapshots/n", Manifest(i));
-  const auto view = hps::BuildConfiguration(bench.store);
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
+  for (int i = 1; i <= 4; ++i) fixture.Put("snapshots/n", Manifest(i));
+  const auto view = hps::BuildConfiguration(fixture.store);
   BOOST_TEST(hps::NewestManifest(*view, kName)->index_version.value == 4);
   BOOST_TEST(hps::FindManifest(*view, kName, hp::IndexVersion(3)));
   BOOST_TEST(
@@ -80,90 +80,92 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_manifest_written_again_is_kept_once) {
-  Bench bench;
-  bench.Put("snapshots/n", Manifest(1));
-  bench.Put("snapshots/n", Manifest(2));
-  bench.Put("snapshots/n", Manifest(2));
-  const auto view = hps::BuildConfiguration(bench.store);
+  ConfigFixture fixture;
+  fixture.Put("snapshots/n", Manifest(1));
+  fixture.Put("snapshots/n", Manifest(2));
+  fixture.Put("snapshots/n", Manifest(2));
+  const auto view = hps::BuildConfiguration(fixture.store);
   BOOST_TEST(view->snapshots.at(kName).size() == 2);
 }
 
 // An operator publishes a snapshot again with a lower or the same index version
 // but other shards. Answers gathered under that number would mix two versions.
-BOOST_AUTO_TEST_CASE(an_index_version_never_falls_or_changes_its_meaning) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
-  bench.Put("snapshots/n", Manifest(5));
-  BOOST_TEST(bench.Check("snapshots/n", Manifest(6)).faults.empty());
-  BOOST_TEST(bench.Check("snapshots/n", Manifest(5)).faults.empty());
+BOOST_AUTO_TEST_CASE(an_index_version_never_decreases_or_changes_its_shards) {
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
+  fixture.Put("snapshots/n", Manifest(5));
+  BOOST_TEST(fixture.Check("snapshots/n", Manifest(6)).faults.empty());
+  BOOST_TEST(fixture.Check("snapshots/n", Manifest(5)).faults.empty());
   for (const Json& value :
        {Manifest(4), Manifest(5, 11), Manifest(5, 10, "s", "q")}) {
-    const auto checked = bench.Check("snapshots/n", value);
+    const auto checked = fixture.Check("snapshots/n", value);
     BOOST_REQUIRE(checked.faults.size() == 1);
     BOOST_TEST(checked.faults[0].place == "$.index_version");
   }
   // Deleting the snapshot first makes no difference.
-  bench.Put("snapshots/n", nullptr);
-  BOOST_TEST(hps::BuildConfiguration(bench.store)->snapshots.empty());
-  BOOST_TEST(bench.Check("snapshots/n", Manifest(4)).faults.size() == 1);
-  BOOST_TEST(bench.Check("snapshots/n", Manifest(6)).faults.empty());
+  fixture.Put("snapshots/n", nullptr);
+  BOOST_TEST(hps::BuildConfiguration(fixture.store)->snapshots.empty());
+  BOOST_TEST(fixture.Check("snapshots/n", Manifest(4)).faults.size() == 1);
+  BOOST_TEST(fixture.Check("snapshots/n", Manifest(6)).faults.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_manifest_may_only_name_servers_that_are_there) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
+BOOST_AUTO_TEST_CASE(a_manifest_may_only_name_existing_servers) {
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
   Json wrong = Manifest(1);
   wrong["shards"][0]["backend_servers"] = {"b1", "b9"};
-  const auto checked = bench.Check("snapshots/n", wrong);
+  const auto checked = fixture.Check("snapshots/n", wrong);
   BOOST_REQUIRE(checked.faults.size() == 1);
   BOOST_TEST(checked.faults[0].place == "$.shards[0].backend_servers[1]");
-  BOOST_TEST(bench.Check("snapshots/n", Manifest(1, 10, "zz")).faults.size() ==
-             1);
+  BOOST_TEST(
+      fixture.Check("snapshots/n", Manifest(1, 10, "zz")).faults.size() == 1);
 }
 
 // Two services with one backend server would each count its slots as their own
 // and overload it.
 BOOST_AUTO_TEST_CASE(a_backend_server_belongs_to_one_service) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
-  BOOST_TEST(bench.Check("services/t", Service("b1", 9102)).faults.size() == 1);
-  BOOST_TEST(bench.Check("services/t", Service("b2", 9101)).faults.size() == 1);
-  BOOST_TEST(bench.Check("services/t", Service("b2", 9102)).faults.empty());
-  BOOST_TEST(bench.Check("services/s", Service("b1", 9103)).faults.empty());
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
+  BOOST_TEST(fixture.Check("services/t", Service("b1", 9102)).faults.size() ==
+             1);
+  BOOST_TEST(fixture.Check("services/t", Service("b2", 9101)).faults.size() ==
+             1);
+  BOOST_TEST(fixture.Check("services/t", Service("b2", 9102)).faults.empty());
+  BOOST_TEST(fixture.Check("services/s", Service("b1", 9103)).faults.empty());
   // Two racing writes may both pass; then there is at least a warning.
-  bench.Put("services/t", Service("b1", 9101));
-  BOOST_TEST(!hps::BuildConfiguration(bench.store)->warnings.empty());
+  fixture.Put("services/t", Service("b1", 9101));
+  BOOST_TEST(!hps::BuildConfiguration(fixture.store)->warnings.empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_only_makes_answers_smaller_is_a_warning) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
-  bench.Put("snapshots/n", Manifest(1));
-  const auto route = bench.Check("routes/r", {{"snapshot", "none"}});
+BOOST_AUTO_TEST_CASE(an_inconsistency_that_only_reduces_coverage_is_a_warning) {
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
+  fixture.Put("snapshots/n", Manifest(1));
+  const auto route = fixture.Check("routes/r", {{"snapshot", "none"}});
   BOOST_TEST(route.faults.empty());
   BOOST_TEST(route.warnings.size() == 1);
-  const auto view = hps::BuildConfiguration(bench.store);
+  const auto view = hps::BuildConfiguration(fixture.store);
   const auto warnings =
-      WarningsOfDeletion(*view, *hps::ParseObjectName("services/s"));
+      DeletionWarnings(*view, *hps::ParseObjectName("services/s"));
   BOOST_REQUIRE(warnings.size() == 1);
   BOOST_TEST(warnings[0].place == "snapshots/n $.shards[0].service");
 }
 
 // A newer release writes objects that this one can't parse. Dropping one would
 // remove its service from every answer, so the last valid value stays in use.
-BOOST_AUTO_TEST_CASE(an_unreadable_object_keeps_its_last_value) {
-  Bench bench;
-  bench.Put("services/s", Service("b1", 9101));
-  bench.Put("settings/system", {{"deadline_ms", 77}});
-  bench.Put("snapshots/n", Manifest(1));
-  bench.Put("routes/r", {{"snapshot", "n"}});
-  const auto last = hps::BuildConfiguration(bench.store);
+BOOST_AUTO_TEST_CASE(an_unparsable_object_keeps_its_last_value) {
+  ConfigFixture fixture;
+  fixture.Put("services/s", Service("b1", 9101));
+  fixture.Put("settings/system", {{"deadline_ms", 77}});
+  fixture.Put("snapshots/n", Manifest(1));
+  fixture.Put("routes/r", {{"snapshot", "n"}});
+  const auto last = hps::BuildConfiguration(fixture.store);
   BOOST_TEST(last->warnings.empty());
   for (const std::string name :
        {"services/s", "settings/system", "snapshots/n", "routes/r"}) {
-    bench.Put(name, {{"from", "the future"}});
+    fixture.Put(name, {{"from", "the future"}});
   }
-  const auto view = hps::BuildConfiguration(bench.store, last.get());
+  const auto view = hps::BuildConfiguration(fixture.store, last.get());
   BOOST_TEST(view->services.size() == 1);
   BOOST_TEST(view->routes.size() == 1);
   BOOST_TEST(hps::NewestManifest(*view, kName) ==
@@ -176,13 +178,13 @@
 // invalidated, corrected and deleted on the way, it must equal the view that a
 // newly started instance builds, or two instances would serve different
 // configurations.
-BOOST_AUTO_TEST_CASE(a_view_built_in_steps_equals_one_built_at_once) {
-  Bench bench;
+BOOST_AUTO_TEST_CASE(an_incremental_view_equals_one_built_from_scratch) {
+  ConfigFixture fixture;
   std::shared_ptr<const hps::Configuration> view;
   const auto step = [&](const std::string& name, const Json& value) {
-    bench.Put(name, value);
-    view = hps::BuildConfiguration(bench.store, view.get());
-    const auto fresh = hps::BuildConfiguration(bench.store);
+    fixture.Put(name, value);
+    view = hps::BuildConfiguration(fixture.store, view.get());
+    const auto fresh = hps::BuildConfiguration(fixture.store);
     BOOST_TEST((view->objects == fresh->objects));
     BOOST_TEST(view->services.size() == fresh->services.size());
     BOOST_TEST(view->routes.size() == fresh->routes.size());
--- a/packages/settings/tests/daemon_settings_test.cc
+++ b/packages/settings/tests/daemon_settings_test.cc
@@ -8,9 +8,9 @@
 
 namespace data = boost::unit_test::data;
 using hibiscuspick::settings::FaultsOf;
-using hibiscuspick::settings::GoodOf;
-using hibiscuspick::settings::IsGood;
+using hibiscuspick::settings::IsValid;
 using hibiscuspick::settings::ReadDaemonSettings;
+using hibiscuspick::settings::ValidValue;
 
 namespace {
 
@@ -37,7 +37,7 @@
   return out << it.name;
 }
 
-const FaultCase kFaulty[] = {
+const FaultCase kInvalid[] = {
     {"not JSON", "{", {"$"}},
     {"an array",
      "[]",
@@ -73,21 +73,21 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(every_fault_is_given_with_its_place, data::make(kFaulty),
-                     it) {
+BOOST_DATA_TEST_CASE(every_fault_is_reported_with_its_path,
+                     data::make(kInvalid), it) {
   const auto result = ReadDaemonSettings(it.text, Environment);
   std::vector<std::string> places;
   for (const auto& fault : FaultsOf(result)) places.push_back(fault.place);
   BOOST_TEST(places == it.places, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_good_file_is_read_with_comments_and_defaults) {
+BOOST_AUTO_TEST_CASE(a_valid_file_is_read_with_comments_and_defaults) {
   const auto result = ReadDaemonSettings(
       WithHead(R"(,"operator_token": "t", "inner_key_env": "HP_KEY",
                   "region": "oslo", "log": {"level": "debug"})"),
       Environment);
-  BOOST_REQUIRE(IsGood(result));
-  const auto& settings = GoodOf(result);
+  BOOST_REQUIRE(IsValid(result));
+  const auto& settings = ValidValue(result);
   BOOST_TEST(settings.instance.text == "osl-1-a");
   BOOST_TEST(settings.inner.port == 8201);
   BOOST_TEST(settings.inner_key == "key from the environment");
--- a/packages/settings/tests/edge_settings_test.cc
+++ b/packages/settings/tests/edge_settings_test.cc
@@ -12,7 +12,7 @@
 namespace hibiscuspick::settings {
 namespace {
 
-Json Good() {
+Json ValidSettings() {
   return Json::parse(R"({"instance": "a-1", "data_centre": "a", "edge": {
     "callers": "10.0.0.1:1", "readiness": "10.0.0.1:2", "store": "10.0.0.2:3",
     "news": "10.0.0.1:4", "queries": "10.0.0.1:5", "processor": 0.25,
@@ -21,18 +21,18 @@
     "regions": {"a": "north", "b": "south"}, "grace_ms": 6000}})");
 }
 
-BOOST_AUTO_TEST_CASE(GoodFile) {
-  const auto checked = ReadEdgeSettings(Good().dump());
-  BOOST_TEST_REQUIRE(IsGood(checked));
-  const auto& settings = GoodOf(checked);
-  BOOST_TEST(settings.processor == 0.25);
+BOOST_AUTO_TEST_CASE(ValidFile) {
+  const auto checked = ReadEdgeSettings(ValidSettings().dump());
+  BOOST_TEST_REQUIRE(IsValid(checked));
+  const auto& settings = ValidValue(checked);
+  BOOST_TEST(settings.cpu_cores == 0.25);
   BOOST_TEST(settings.extra_slack == 52);
   BOOST_TEST(settings.extra_window.count == 10000);
-  BOOST_TEST(ToText(settings.news) == "10.0.0.1:4");
+  BOOST_TEST(ToText(settings.updates) == "10.0.0.1:4");
   BOOST_TEST(settings.cold_overage == 1.5);
   BOOST_TEST(settings.cold_slack == 5);
   BOOST_TEST(settings.regions.at(DataCentreId("b")) == "south");
-  BOOST_TEST(IsEdgeSettings(Good().dump()));
+  BOOST_TEST(IsEdgeSettings(ValidSettings().dump()));
   BOOST_TEST(!IsEdgeSettings("{}"));
   BOOST_TEST(!IsEdgeSettings("{\"edge\": {"));
 }
@@ -40,13 +40,13 @@
 // Every mechanism is on unless the file switches it off by its name.
 BOOST_AUTO_TEST_CASE(MechanismsAreOnUnlessSwitchedOff) {
   for (const auto& off : kMechanismNames) {
-    Json file = Good();
+    Json file = ValidSettings();
     file["edge"]["policy"][std::string(off.name)] = false;
     const auto checked = ReadEdgeSettings(file.dump());
-    BOOST_TEST_REQUIRE(IsGood(checked));
+    BOOST_TEST_REQUIRE(IsValid(checked));
     for (const auto& it : kMechanismNames) {
       const bool expected = it.name != off.name;
-      BOOST_TEST((GoodOf(checked).mechanisms.*it.field) == expected);
+      BOOST_TEST((ValidValue(checked).mechanisms.*it.field) == expected);
     }
   }
 }
@@ -83,17 +83,17 @@
 
 // An error in the file must be reported with its path and must not start a
 // process with guessed settings.
-BOOST_DATA_TEST_CASE(FaultsNameTheirPlace, bdata::make(kBad), row) {
-  Json file = Good();
+BOOST_DATA_TEST_CASE(FaultsNameTheirPath, bdata::make(kBad), row) {
+  Json file = ValidSettings();
   file[Json::json_pointer(row.pointer)] = row.value;
   const auto faults = FaultsOf(ReadEdgeSettings(file.dump()));
   BOOST_TEST_REQUIRE(faults.size() == 1);
   BOOST_TEST(faults[0].place == row.place);
 }
 
-BOOST_AUTO_TEST_CASE(HalfWrittenFile) {
-  const std::string text = Good().dump();
-  BOOST_TEST(!IsGood(ReadEdgeSettings(text.substr(0, text.size() / 2))));
+BOOST_AUTO_TEST_CASE(TruncatedFile) {
+  const std::string text = ValidSettings().dump();
+  BOOST_TEST(!IsValid(ReadEdgeSettings(text.substr(0, text.size() / 2))));
 }
 
 }  // namespace
--- a/packages/settings/tests/fuzz_test.cc
+++ b/packages/settings/tests/fuzz_test.cc
@@ -58,19 +58,19 @@
 }
 
 // Parses a value and serialises the result; nullopt if it is rejected.
-using Rewrite = std::function<std::optional<Json>(const Json&)>;
+using RoundTrip = std::function<std::optional<Json>(const Json&)>;
 
 template <class T>
-std::optional<Json> Written(const Checked<T>& it) {
-  if (!IsGood(it)) {
+std::optional<Json> Serialise(const Checked<T>& it) {
+  if (!IsValid(it)) {
     // A rejection must give the operator a reason.
     BOOST_TEST(!FaultsOf(it).empty());
     return std::nullopt;
   }
-  return ToJson(GoodOf(it));
+  return ToJson(ValidValue(it));
 }
 
-std::optional<Json> WrittenEnvelope(const Json& value) {
+std::optional<Json> SerialiseEnvelope(const Json& value) {
   const auto read = ReadEnvelope(value);
   if (!IsOk(read)) return std::nullopt;
   return ToJson(ValueOf(read));
@@ -79,7 +79,7 @@
 struct FuzzRow {
   const char* name;
   std::string_view text;
-  Rewrite rewrite;
+  RoundTrip round_trip;
 };
 std::ostream& operator<<(std::ostream& out, const FuzzRow& row) {
   return out << row.name;
@@ -90,27 +90,27 @@
      R"({"backend_servers":[{"id":"b1","address":"127.0.0.1:9101",)"
      R"("data_centre":"osl-1","slots":2,"max_connections":25},)"
      R"({"id":"b2","address":"127.0.0.1:9102","data_centre":"osl-2"}]})",
-     [](const Json& it) { return Written(ReadService(ServiceId("s"), it)); }},
+     [](const Json& it) { return Serialise(ReadService(ServiceId("s"), it)); }},
     {"route",
      R"({"snapshot":"all","lane":"urgent","prefer":"coverage",)"
      R"("services":["s1","s2"]})",
-     [](const Json& it) { return Written(ReadRoute(RouteId("r"), it)); }},
+     [](const Json& it) { return Serialise(ReadRoute(RouteId("r"), it)); }},
     {"snapshot",
      R"({"id":"2026-12-02a","index_version":7,"shards":[{"shard":"p1",)"
      R"("service":"s1","documents":100,"backend_servers":["b1"]},)"
      R"({"shard":"p2","service":"s2","documents":0}]})",
      [](const Json& it) {
-       return Written(ReadSnapshot(SnapshotName("all"), Revision(3), it));
+       return Serialise(ReadSnapshot(SnapshotName("all"), Revision(3), it));
      }},
     {"drain", R"({"reason":"new disk"})",
      [](const Json& it) {
-       return Written(ReadDrain(BackendServerId("b1"), it));
+       return Serialise(ReadDrain(BackendServerId("b1"), it));
      }},
     {"envelope",
      R"({"deleted":false,"writes":[{"id":"w1","version":4},{"id":"w2",)"
      R"("version":0}],"previous":[{"version":3,"value":{"id":"a"}}],)"
      R"("value":{"id":"b","index_version":8}})",
-     WrittenEnvelope},
+     SerialiseEnvelope},
 };
 
 const std::string_view kDaemonSettings =
@@ -127,8 +127,8 @@
 // one. A daemon that crashed on it would crash again on each restart, since the
 // platform keeps the value. One that parsed it differently from what it
 // serialises would disagree with other instances about the configuration.
-BOOST_DATA_TEST_CASE(what_is_accepted_reads_the_same_once_written,
-                     data::make(kRows), row) {
+BOOST_DATA_TEST_CASE(accepted_values_survive_a_round_trip, data::make(kRows),
+                     row) {
   Random random(1);
   int accepted = 0;
   int refused = 0;
@@ -137,7 +137,7 @@
         testing::Mutate(std::string(row.text), kTokens, &random);
     const auto parsed = ParseJson(text);
     if (!IsOk(parsed)) continue;
-    const auto written = row.rewrite(ValueOf(parsed));
+    const auto written = row.round_trip(ValueOf(parsed));
     if (!written) {
       ++refused;
       continue;
@@ -145,7 +145,7 @@
     ++accepted;
     const auto again = ParseJson(DumpJson(*written));
     BOOST_REQUIRE_MESSAGE(IsOk(again), text);
-    const auto rewritten = row.rewrite(ValueOf(again));
+    const auto rewritten = row.round_trip(ValueOf(again));
     BOOST_REQUIRE_MESSAGE(rewritten.has_value(), text);
     BOOST_REQUIRE_MESSAGE(*rewritten == *written, text);
   }
@@ -157,7 +157,7 @@
 // A settings file is truncated or mistyped. The daemon must report the path and
 // exit; one that started without a token would let anyone change the
 // configuration.
-BOOST_AUTO_TEST_CASE(damaged_daemon_settings_are_refused_or_whole) {
+BOOST_AUTO_TEST_CASE(damaged_daemon_settings_are_rejected_or_complete) {
   Random random(2);
   int accepted = 0;
   int refused = 0;
@@ -165,13 +165,13 @@
     const std::string text =
         testing::Mutate(std::string(kDaemonSettings), kTokens, &random);
     const auto read = ReadDaemonSettings(text, NoEnvironment);
-    if (!IsGood(read)) {
+    if (!IsValid(read)) {
       ++refused;
       BOOST_REQUIRE_MESSAGE(!FaultsOf(read).empty(), text);
       continue;
     }
     ++accepted;
-    const DaemonSettings& it = GoodOf(read);
+    const DaemonSettings& it = ValidValue(read);
     BOOST_REQUIRE_MESSAGE(!it.instance.text.empty(), text);
     BOOST_REQUIRE_MESSAGE(!it.operator_token.empty(), text);
     BOOST_REQUIRE_MESSAGE(!it.inner_key.empty(), text);
--- a/packages/settings/tests/object_json_test.cc
+++ b/packages/settings/tests/object_json_test.cc
@@ -12,8 +12,8 @@
 namespace hps = hibiscuspick::settings;
 using hp::Json;
 using hps::FaultsOf;
-using hps::GoodOf;
-using hps::IsGood;
+using hps::IsValid;
+using hps::ValidValue;
 
 namespace {
 
@@ -102,13 +102,14 @@
 void Check(const hps::Checked<T>& result, const ObjectCase& it) {
   BOOST_TEST(PlacesOf(FaultsOf(result)) == it.places,
              boost::test_tools::per_element());
-  if (IsGood(result))
-    BOOST_TEST(ToJson(GoodOf(result)) == Json::parse(it.text));
+  if (IsValid(result))
+    BOOST_TEST(ToJson(ValidValue(result)) == Json::parse(it.text));
 }
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(objects_are_checked_whole, data::make(kObjects), it) {
+BOOST_DATA_TEST_CASE(all_faults_of_an_object_are_reported, data::make(kObjects),
+                     it) {
   const Json value = Json::parse(it.text);
   if (it.kind == kService) {
     Check(hps::ReadService(hp::ServiceId("s"), value), it);
@@ -146,7 +147,7 @@
     {"drains/" + std::string(101, 'b'), false},
 };
 
-BOOST_DATA_TEST_CASE(object_names_are_checked, data::make(kNames), it) {
+BOOST_DATA_TEST_CASE(object_names_are_validated, data::make(kNames), it) {
   const auto name = hps::ParseObjectName(it.text);
   BOOST_TEST(name.has_value() == it.good);
   if (name) BOOST_TEST(ToText(*name) == it.text);
--- a/packages/settings/tests/settings_page_test.cc
+++ b/packages/settings/tests/settings_page_test.cc
@@ -25,7 +25,7 @@
   std::string text;
   for (int i = 1; i <= static_cast<int>(hps::Level::kRoute); ++i) {
     const auto level = static_cast<hps::Level>(i);
-    if (!MayStandAt(row, level)) continue;
+    if (!IsAllowedAt(row, level)) continue;
     text += (text.empty() ? "" : ", ") + std::string(LevelName(level));
   }
   return text;
@@ -39,8 +39,8 @@
   }
   if (!words.empty()) return words;
   const std::string unit = row.type == hps::KeyType::kMillis ? " ms" : "";
-  return hps::ToJson(row, row.least).dump() + " to " +
-         hps::ToJson(row, row.most).dump() + unit;
+  return hps::ToJson(row, row.min).dump() + " to " +
+         hps::ToJson(row, row.max).dump() + unit;
 }
 
 std::string DefaultText(const hps::KeyRow& row) {
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(the_page_has_one_true_line_for_each_key) {
+BOOST_AUTO_TEST_CASE(the_page_has_one_correct_row_for_each_key) {
   std::set<std::string> lines;
   std::istringstream page(Page());
   for (std::string line; std::getline(page, line);) {
@@ -72,7 +72,7 @@
   BOOST_TEST(lines.size() == hps::kKeyCount);
 }
 
-BOOST_AUTO_TEST_CASE(the_pages_daemon_file_is_a_good_one) {
+BOOST_AUTO_TEST_CASE(the_daemon_file_on_the_page_is_valid) {
   const std::string page = Page();
   const std::string fence = "```jsonc\n";
   const size_t begin = page.find(fence);
@@ -81,7 +81,7 @@
   const auto result = hps::ReadDaemonSettings(
       page.substr(start, page.find("```", start) - start),
       [](const std::string&) { return std::string("from the environment"); });
-  BOOST_TEST(IsGood(result), hps::ToText(hps::FaultsOf(result)));
+  BOOST_TEST(IsValid(result), hps::ToText(hps::FaultsOf(result)));
 }
 
 BOOST_AUTO_TEST_CASE(the_page_names_each_switch_for_experiments) {
@@ -93,7 +93,7 @@
 }
 
 // The example omits some fields; the rest is validated as usual.
-BOOST_AUTO_TEST_CASE(the_pages_file_of_an_edge_instance_is_a_good_one) {
+BOOST_AUTO_TEST_CASE(the_edge_file_on_the_page_is_valid) {
   const std::string page = Page();
   const std::string fence = "```jsonc\n";
   const size_t begin = page.find(fence, page.find("## The file of an edge"));
@@ -101,5 +101,5 @@
   const size_t start = begin + fence.size();
   const auto result = hps::ReadEdgeSettings(
       page.substr(start, page.find("```", start) - start));
-  BOOST_TEST(IsGood(result), hps::ToText(hps::FaultsOf(result)));
+  BOOST_TEST(IsValid(result), hps::ToText(hps::FaultsOf(result)));
 }
--- a/packages/settings/tests/settings_tree_test.cc
+++ b/packages/settings/tests/settings_tree_test.cc
@@ -10,8 +10,8 @@
 namespace hps = hibiscuspick::settings;
 using hp::Json;
 using hps::FaultsOf;
-using hps::GoodOf;
-using hps::IsGood;
+using hps::IsValid;
+using hps::ValidValue;
 
 namespace {
 
@@ -20,8 +20,8 @@
   const auto node = hps::ParseTreePath(path);
   BOOST_REQUIRE(node.has_value());
   const auto values = hps::ReadLevelValues(node->level, Json::parse(text));
-  BOOST_REQUIRE_MESSAGE(IsGood(values), hps::ToText(FaultsOf(values)));
-  SetLevel(tree, *node, GoodOf(values));
+  BOOST_REQUIRE_MESSAGE(IsValid(values), hps::ToText(FaultsOf(values)));
+  SetLevel(tree, *node, ValidValue(values));
 }
 
 hps::SettingsTree MakeTree() {
@@ -124,7 +124,7 @@
   return out << it.name;
 }
 
-const FaultCase kFaulty[] = {
+const FaultCase kInvalid[] = {
     {"everything wrong at once",
      kSystem,
      R"({"deadline_ms": "200", "limit": 1.5, "min_coverage": 1.01,
@@ -151,7 +151,8 @@
   BOOST_TEST(hps::FractionOf(all, it.key) == it.number);
 }
 
-BOOST_DATA_TEST_CASE(a_node_is_checked_whole, data::make(kFaulty), it) {
+BOOST_DATA_TEST_CASE(all_faults_of_a_node_are_reported, data::make(kInvalid),
+                     it) {
   std::vector<std::string> places;
   const auto result = hps::ReadLevelValues(it.level, Json::parse(it.text));
   for (const auto& fault : FaultsOf(result)) places.push_back(fault.place);
@@ -160,15 +161,15 @@
 
 BOOST_AUTO_TEST_CASE(defaults_are_within_their_own_ranges) {
   for (const auto& row : hps::KeyTable()) {
-    BOOST_TEST(row.fallback >= row.least, row.name);
-    BOOST_TEST(row.fallback <= row.most, row.name);
-    BOOST_TEST(MayStandAt(row, kSystem), row.name);
+    BOOST_TEST(row.fallback >= row.min, row.name);
+    BOOST_TEST(row.fallback <= row.max, row.name);
+    BOOST_TEST(IsAllowedAt(row, kSystem), row.name);
     const Json node = {{std::string(row.name), ToJson(row, row.fallback)}};
-    BOOST_TEST(IsGood(hps::ReadLevelValues(kSystem, node)), row.name);
+    BOOST_TEST(IsValid(hps::ReadLevelValues(kSystem, node)), row.name);
   }
 }
 
-BOOST_AUTO_TEST_CASE(effective_values_say_where_they_come_from) {
+BOOST_AUTO_TEST_CASE(effective_values_name_their_level) {
   const Json all =
       EffectiveJson(MakeTree(), {kHere, hp::CustomerId("c1"), {}, {}});
   BOOST_TEST(all.size() == hps::kKeyCount);
