--- a/packages/edge/include/hibiscuspick/edge/peer_sender.h
+++ b/packages/edge/include/hibiscuspick/edge/peer_sender.h
@@ -103,12 +103,13 @@
   double own_utilisation() const { return own_utilisation_; }
 
   // Chooses the peer for a fan-out over shards in these data centres, among
-  // those that `homes` allows; nullopt if this instance should run it itself.
+  // those in `allowed_data_centres`; nullopt if this instance should run it
+  // itself.
   std::optional<engine::Peer> ChoosePeer(
       const std::vector<DataCentreId>& data_centres,
       const engine::AllowedDataCentres& allowed_data_centres);
-  // This instance's role and rank among the senders; the default if it is not
-  // one.
+  // This instance's role and rank among the senders; default values if it is
+  // not a sender.
   engine::SenderRank Rank() const;
 
   // A reachable relay in that data centre, rotating between them; nullptr if
@@ -119,9 +120,9 @@
   // were missing.
   void RecordMissingShare(const DataCentreId& data_centre, double share);
 
-  // Time limits of a forwarded query: when the answer is due, after which a
-  // peer that answers no query at all gets no further ones, and when the query
-  // is abandoned.
+  // Time limits of a forwarded query. A peer that has answered no query at all
+  // some time after `due` gets no further ones; after `timeout` the query is
+  // abandoned.
   struct Times {
     Millis due;
     Millis timeout;
@@ -146,7 +147,7 @@
   void ScheduleSilenceChecks(const std::shared_ptr<OpenQuery>& query,
                              Millis due);
   void StartBackoff(const InstanceId& peer);
-  void Finish(const std::shared_ptr<OpenQuery>& query, ForwardResult end,
+  void Finish(const std::shared_ptr<OpenQuery>& query, ForwardResult result,
               HttpReply reply);
 
   Loop* const loop_;
--- a/packages/edge/include/hibiscuspick/edge/query_run.h
+++ b/packages/edge/include/hibiscuspick/edge/query_run.h
@@ -41,12 +41,12 @@
   engine::LagMeter answer_lag;
   // Peers that query the shards in their own data centre, and the latency of
   // that hop without the peer's processing time. The initial value is one and a
-  // half one-way trips.
+  // half times the one-way network latency.
   PeerSender* peers = nullptr;
   engine::LagMeter relay_lag{Millis(5)};
   // Subtracted from the caller's deadline, for the same reason as
   // answer_margin.
-  Millis end_margin{12};
+  Millis deadline_margin{12};
 };
 
 // Time left of the deadlines of a query that a peer has forwarded.
@@ -146,7 +146,7 @@
   }
 
   // Continues a query after its first answer to a peer, which still needs
-  // `wanted` of the parts in `shard_indices`. Answers when that many have
+  // `needed` of the parts in `shard_indices`. Answers when that many have
   // arrived, or at the deadline with those that have.
   void Resume(const ForwardedDeadlines& deadlines,
               const std::vector<size_t>& shard_indices, size_t needed,
@@ -205,7 +205,7 @@
   bool StartParts();
   // Forwards parts in other data centres to relays there; returns the remaining
   // parts.
-  std::vector<size_t> RelayParts(const std::vector<size_t>& asked);
+  std::vector<size_t> RelayParts(const std::vector<size_t>& parts);
   bool SendRelay(const engine::RelayGroup& group);
   // Sends a request for parts of this query to a peer; the answer is due in
   // `due`.
@@ -216,7 +216,7 @@
                      ForwardResult result, const HttpReply& reply);
   // Handles a peer's answer for these shards: takes the results received, keeps
   // track of those that may still come, and queries the others from here.
-  // `ran`: the peer may have sent them to servers.
+  // `may_have_run`: the peer may have sent them to servers.
   void HandlePeerAnswer(const std::vector<size_t>& shards,
                         const engine::Peer& peer, ForwardResult result,
                         const HttpReply& reply, bool may_have_run);
--- a/packages/edge/include/hibiscuspick/edge/traffic_server.h
+++ b/packages/edge/include/hibiscuspick/edge/traffic_server.h
@@ -48,11 +48,11 @@
   // Assumed number of instances until it is known.
   size_t instances = 8;
   Millis answer_margin{9};
-  Millis end_margin{12};
-  // Phases of a graceful shutdown, from its start: until `stop_refuse` new
-  // requests are served, since the load balancer still sends them; at
-  // `stop_answer` every request still running is answered; at `stop_end` the
-  // process exits.
+  Millis deadline_margin{12};
+  // Phases of a graceful shutdown, from its start: until `stop_refuse_after`
+  // new requests are served, since the load balancer still sends them; at
+  // `stop_answer_after` every request still running is answered; at
+  // `stop_exit_after` the process exits.
   Millis stop_refuse_after{3000};
   Millis stop_answer_after{5300};
   Millis stop_exit_after{5600};
@@ -74,9 +74,9 @@
   // Excludes servers in these data centres from now on. The first call comes
   // before the first SetServers, after which requests are served.
   void SetEvacuated(const std::set<DataCentreId>& data_centres);
-  // The other instances: `senders` run fan-outs for the others, `relays` query
-  // shards in their own data centre; the two may overlap. `own_place` is this
-  // instance's position among all.
+  // Sets the other instances: `senders` run fan-outs for the others, `relays`
+  // query shards in their own data centre; the two may overlap. `own_position`
+  // is this instance's position among all.
   struct InstancePosition {
     size_t instances = 1;
     // Number of instances before this one in an order that all agree on.
@@ -169,7 +169,7 @@
   InstancePosition own_position_;
   // Latency of forwarding a query to a peer in this data centre and in another,
   // without the peer's processing time. The initial values are one and a half
-  // one-way trips.
+  // times the one-way network latency.
   engine::LagMeter local_lag_{Millis(4)};
   engine::LagMeter remote_lag_{Millis(7)};
   std::shared_ptr<const engine::TrafficConfig> config_;
--- a/packages/edge/src/query_relay.cc
+++ b/packages/edge/src/query_relay.cc
@@ -12,8 +12,7 @@
 // hop.
 constexpr Millis kMinRelayTime{12};
 
-// A peer that has not answered this long after the query's own deadline is
-// given up.
+// A peer that has not answered this long after its answer was due is given up.
 constexpr Millis kRelayGrace{20};
 
 }  // namespace
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -58,7 +58,7 @@
     already_waited = engine::TimeAlreadyWaited(route_latency, deadline);
     deadlines.is_retry = already_waited > kRetryThreshold;
     deadlines.deadline_in =
-        Min(deadlines.deadline_in, deadline - context.end_margin);
+        Min(deadlines.deadline_in, deadline - context.deadline_margin);
   }
   const Millis margin = request.network_time
                             ? *request.network_time + context.processing_margin
--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -57,7 +57,7 @@
   context_.names = &settings_.names;
   context_.peers = &peers_;
   context_.answer_margin = settings_.answer_margin;
-  context_.end_margin = settings_.end_margin;
+  context_.deadline_margin = settings_.deadline_margin;
 }
 
 SessionPolicy TrafficServer::CallersPolicy() {
