--- a/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
+++ b/packages/dispatch/include/hibiscuspick/dispatch/part_executor.h
@@ -88,7 +88,8 @@
   void Apply(const std::vector<GroupConfig>& groups);
 
   // Starts a part. `on_outcomes` receives each shard's outcome exactly once,
-  // possibly before Run returns, and none after Cancel.
+  // possibly before Run returns. After Cancel the remaining outcomes are not
+  // delivered.
   void Run(const limits::PartRequest& part, OnOutcomes on_outcomes);
 
   // Cancels the rest of a part: releases its queued tasks and requests
--- a/packages/dispatch/src/decision_log.cc
+++ b/packages/dispatch/src/decision_log.cc
@@ -33,10 +33,10 @@
   Log(Part::kLimit)
       .info(
           "started {} {} for shard {} of service {} at server {}: task {}, "
-          "lane {}, queued for {:.1f} ms, {} tasks queued",
+          "lane {}, {:.1f} ms after arrival, {} tasks queued",
           KindName(it.attempt_kind), it.attempt.value, logged.shard.text,
           service.text, logged.server.text, it.task.value, LaneName(it.lane),
-          it.waited.count, it.waiting);
+          it.since_arrival.count, it.waiting);
 }
 
 void LogTask(std::string_view what, const ServiceId& service,
@@ -44,10 +44,11 @@
   const Decision& it = logged.decision;
   Log(Part::kLimit)
       .info(
-          "{} shard {} of service {}: task {}, lane {}, {}, queued for "
-          "{:.1f} ms, {} tasks queued",
+          "{} shard {} of service {}: task {}, lane {}, {}, {:.1f} ms after "
+          "arrival, {} tasks queued",
           what, logged.shard.text, service.text, it.task.value,
-          LaneName(it.lane), CodeName(it.code), it.waited.count, it.waiting);
+          LaneName(it.lane), CodeName(it.code), it.since_arrival.count,
+          it.waiting);
 }
 
 void LogServer(std::string_view what, const ServiceId& service,
--- a/packages/dispatch/src/reply_check.cc
+++ b/packages/dispatch/src/reply_check.cc
@@ -12,7 +12,7 @@
 constexpr int kOkStatus = 200;
 constexpr int kConflictStatus = 409;
 constexpr int kUnavailableStatus = 503;
-// Maximum versions a server may list; a longer list is a bad reply.
+// Maximum versions a server may list; a longer list is invalid.
 constexpr size_t kMaxHeldVersions = 64;
 
 Incarnation ReadIncarnation(const http::Reply& reply) {
--- a/packages/limits/include/hibiscuspick/limits/group.h
+++ b/packages/limits/include/hibiscuspick/limits/group.h
@@ -107,7 +107,7 @@
   Lane lane = Lane::kOrdinary;
   AttemptKind attempt_kind = AttemptKind::kFirst;
   Code code = Code::kOk;
-  Millis waited;
+  Millis since_arrival;
   // Tasks queued in the group.
   size_t waiting = 0;
 };
--- a/packages/limits/include/hibiscuspick/limits/group_policy.h
+++ b/packages/limits/include/hibiscuspick/limits/group_policy.h
@@ -35,8 +35,8 @@
   Millis min_delay{2};
   // Delay used until enough latencies have been measured.
   Millis default_delay{50};
-  // Whether an urgent hedge that finds no free slot is queued ahead of all
-  // other tasks. Otherwise it is dropped.
+  // Whether an urgent hedge that finds no free slot is queued at the head of
+  // its lane. Otherwise it is dropped.
   bool prioritize_urgent = true;
 };
 
--- a/packages/limits/src/group_queue.cc
+++ b/packages/limits/src/group_queue.cc
@@ -307,7 +307,7 @@
   decision.task = task.work.task;
   decision.lane = task.work.lane;
   decision.attempt_kind = task.next_kind;
-  decision.waited = ctx.now - task.added;
+  decision.since_arrival = ctx.now - task.added;
   decision.waiting = CountWaiting(ctx.state->queues);
   return decision;
 }
