--- a/packages/daemon/include/hibiscuspick/daemon/daemon.h
+++ b/packages/daemon/include/hibiscuspick/daemon/daemon.h
@@ -23,8 +23,8 @@
   // Stops gracefully: /readyz reports that the instance is leaving and peers
   // are notified; requests are still accepted for the balancer's lag; work in
   // flight completes; then everything is stopped. Returns when it is done.
-  // `now` is polled: once it is true, or after stop_timeout, work in flight is
-  // aborted, which the log reports.
+  // `abort_now` is polled: once it is true, or after stop_timeout, work in
+  // flight is aborted, which the log reports.
   void Stop(const std::atomic<bool>& abort_now);
 
  private:
--- a/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
+++ b/packages/daemon/include/hibiscuspick/daemon/instance_lister.h
@@ -13,7 +13,7 @@
 namespace hibiscuspick::daemon {
 
 // Each call counts against the platform's limit, so only the data centre's
-// watchers, and instances that know no others, request the list regularly.
+// watchers and instances that don't serve yet request the list regularly.
 class InstanceLister {
  public:
   using Sink = std::function<void(std::vector<platform::ListedInstance>)>;
--- a/packages/daemon/src/daemon_impl.h
+++ b/packages/daemon/src/daemon_impl.h
@@ -33,7 +33,7 @@
  public:
   explicit Impl(settings::DaemonSettings settings)
       : settings_(std::move(settings)),
-        // A later incarnation only needs a later start time.
+        // Incarnations must increase with each start, as the time does.
         incarnation_(static_cast<uint64_t>(WallNow().count)),
         calls_(PlatformCallsOf(settings_)),
         executor_(ExecutorOptionsOf(settings_, incarnation_),
@@ -59,8 +59,8 @@
   void Stop(const std::atomic<bool>& abort_now);
 
  private:
-  // Watchers' reports reach their data centre by digests within one to two
-  // seconds each.
+  // Watchers' reports propagate in their data centre by digests, which each
+  // instance sends to two peers every second.
   static constexpr Millis kReportDelay{5000};
 
   ControlPorts MakeControlPorts();
--- a/packages/records/include/hibiscuspick/records/committer.h
+++ b/packages/records/include/hibiscuspick/records/committer.h
@@ -15,7 +15,7 @@
 
 namespace hibiscuspick::records {
 
-// Events.
+// Events of the state machine.
 struct Submit {
   // Below kReleaseBit, never reused.
   uint64_t id = 0;
@@ -40,7 +40,7 @@
 struct Retry {};
 using CommitEvent = std::variant<Submit, GiveUp, GotBucket, PutDone, Retry>;
 
-// Actions.
+// Actions that the caller performs.
 struct ReadBucket {};
 struct WriteBucket {
   BucketValue value;
@@ -90,7 +90,8 @@
   std::map<uint64_t, PendingChange> pending;
   // A platform call is in flight.
   bool is_busy = false;
-  // The write in flight: its value, and the verdicts that depend on it.
+  // The write in flight: its value, the version that it replaces and the
+  // verdicts that depend on it.
   BucketValue write_value;
   std::optional<Revision> write_expected;
   std::vector<Decided> on_success;
--- a/packages/settings/include/hibiscuspick/settings/daemon_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/daemon_settings.h
@@ -58,7 +58,7 @@
   int platform_calls_per_second = 50;
   int platform_call_burst = 100;
   Millis platform_timeout{2000};
-  // The timeout of one long-polling watch request.
+  // How long one watch request (a long poll) waits for changes.
   Millis platform_watch_timeout{10000};
 };
 
--- a/packages/settings/include/hibiscuspick/settings/edge_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/edge_settings.h
@@ -28,8 +28,8 @@
   // CPU share of the process, in cores.
   double cpu_cores = 1;
 
-  // The fleet's limit on hedges and retries, as a share of a service's first
-  // attempts within any window.
+  // The fleet's limit on hedges and retries of a service in any window: this
+  // share of the service's requests, and the slack.
   double extra_ratio = 0.2;
   Millis extra_window{10000};
   double extra_slack = 0;
--- a/packages/settings/include/hibiscuspick/settings/mechanisms.h
+++ b/packages/settings/include/hibiscuspick/settings/mechanisms.h
@@ -37,7 +37,8 @@
   bool pause_prediction = true;
   // Detects unreachable data centres by separate probe connections.
   bool reachability_probes = true;
-  // Notifies a data centre that it is cut off from the sender.
+  // Lets a sender notify its own data centre that it is cut off from the
+  // others.
   bool cut_off_notices = true;
   // Lets a peer near a remote data centre query its part and merge the replies.
   bool relays = true;
