--- a/packages/edge/src/backends_reachability.cc
+++ b/packages/edge/src/backends_reachability.cc
@@ -116,8 +116,9 @@
 void Backends::SuspectIfSilent(const std::shared_ptr<Server>& server,
                                Millis since) {
   if (server->last_contact > since ||
-      loop_->now() - since < kServerSilenceTimeout)
+      loop_->now() - since < kServerSilenceTimeout) {
     return;
+  }
   CloseIdleChannels(server);
   CountRemoteFailure(*server);
   ScheduleProbe(server);
--- a/packages/edge/src/backends_servers.cc
+++ b/packages/edge/src/backends_servers.cc
@@ -137,14 +137,16 @@
     for (const auto& it : found->second->servers) {
       const auto& data_centre = it->view.entry.data_centre;
       if (it->view.removed || IsEvacuated(*it)) continue;
-      if (engine::IsAllowed(allowed_data_centres, data_centre))
+      if (engine::IsAllowed(allowed_data_centres, data_centre)) {
         data_centres.insert(data_centre);
+      }
     }
     for (const auto& it : data_centres) ++counts[it];
   }
   size_t max_count = 0;
-  for (const auto& [data_centre, n] : counts)
+  for (const auto& [data_centre, n] : counts) {
     max_count = std::max(max_count, n);
+  }
   std::vector<DataCentreId> all;
   // A data centre that lacks a few shards will do: those are queried in other
   // data centres.
--- a/packages/edge/src/http_session.cc
+++ b/packages/edge/src/http_session.cc
@@ -89,8 +89,9 @@
   reader_.reset();
   if (is_first_request_) round_trip_ = stream_->RoundTrip();
   // On a new connection the caller has also waited for the TCP handshake.
-  if (round_trip_)
+  if (round_trip_) {
     request.network_time = *round_trip_ * (is_first_request_ ? 2 : 1);
+  }
   is_first_request_ = false;
   busy_ = true;
   is_head_ = request.method == "HEAD";
--- a/packages/edge/src/peer_sender.cc
+++ b/packages/edge/src/peer_sender.cc
@@ -85,8 +85,9 @@
   add(kDeadlineInHeader, FormatWholeMillis(query.deadlines.deadline_in));
   add(kIsRetryHeader, query.deadlines.is_retry ? "1" : "0");
   if (query.deadlines.lags) add(kLagsHeader, FormatLags(*query.deadlines.lags));
-  if (!query.shard_indices.empty())
+  if (!query.shard_indices.empty()) {
     add(kShardsHeader, FormatIndices(query.shard_indices));
+  }
   if (!query.remainder.token.empty()) {
     add(kRemainderHeader, query.remainder.token);
     add(kNeededHeader, std::to_string(query.remainder.needed));
@@ -246,8 +247,9 @@
                                all.begin());
   };
   const size_t primary_rank = rank_in(primaries);
-  if (primary_rank < primaries.size())
+  if (primary_rank < primaries.size()) {
     return {SenderRole::kPrimary, primary_rank};
+  }
   const size_t overall_rank = rank_in(senders_);
   if (overall_rank == senders_.size()) return {};
   // Primary senders before it do not count among the standbys.
@@ -350,8 +352,9 @@
   loop_->RunAt(sent + Max(due, Millis(0)) + kLateAnswerThreshold,
                [this, weak, sent] {
                  const auto it = weak.lock();
-                 if (!it || !it->on_end || last_contact_[it->peer.id] > sent)
+                 if (!it || !it->on_end || last_contact_[it->peer.id] > sent) {
                    return;
+                 }
                  if (own_ && it->peer.data_centre == own_->data_centre) {
                    // The peer may itself be waiting for another data centre.
                    prober_->SuspectAll(sent);
@@ -390,8 +393,9 @@
     last_contact_[query->peer.id] = loop_->now();
     RecordUtilisation(query->peer.id, reply);
     prober_->RecordContact(query->peer.data_centre);
-    if (query->channel->IsIdle())
+    if (query->channel->IsIdle()) {
       idle_channels_[query->peer.id].push_back(query->channel);
+    }
     if (reply.status == kServersUnreachableStatus) StartBackoff(query->peer.id);
     const bool started = reply.status != kVersionMismatchStatus &&
                          reply.status != kServersUnreachableStatus;
@@ -414,8 +418,9 @@
     StartBackoff(query->peer.id);
     prober_->RecordFailure(query->peer.data_centre);
     query->channel->Close();
-    for (auto& it : std::exchange(idle_channels_[query->peer.id], {}))
+    for (auto& it : std::exchange(idle_channels_[query->peer.id], {})) {
       it->Close();
+    }
   }
   const auto on_end = std::exchange(query->on_end, nullptr);
   if (on_end) on_end(result, std::move(reply));
--- a/packages/edge/src/prober.cc
+++ b/packages/edge/src/prober.cc
@@ -48,22 +48,25 @@
 void Prober::RecordFailure(const DataCentreId& data_centre) {
   if (data_centre == own_) return;
   auto& state = data_centres_[data_centre];
-  if (state.first_failure <= state.reachability.last_contact)
+  if (state.first_failure <= state.reachability.last_contact) {
     state.first_failure = loop_->now();
+  }
   Suspect(data_centre, state.first_failure);
 }
 
 void Prober::Suspect(const DataCentreId& data_centre, Millis since) {
   if (data_centre == own_ || !active_) return;
   const auto& state = data_centres_[data_centre];
-  if (engine::NeedsProbe(state.reachability, since, loop_->now()))
+  if (engine::NeedsProbe(state.reachability, since, loop_->now())) {
     Probe(data_centre);
+  }
 }
 
 void Prober::SuspectAll(Millis since) {
   std::vector<DataCentreId> all;
-  for (const auto& [data_centre, state] : data_centres_)
+  for (const auto& [data_centre, state] : data_centres_) {
     all.push_back(data_centre);
+  }
   for (const auto& it : all) Suspect(it, since);
 }
 
@@ -92,8 +95,9 @@
   TryConnect(data_centre, state.peers);
   loop_->RunAt(loop_->now() + kServerProbeDelay, [this, data_centre] {
     const auto& reachability = data_centres_[data_centre].reachability;
-    if (servers_ && reachability.last_contact < reachability.probe_started_at)
+    if (servers_ && reachability.last_contact < reachability.probe_started_at) {
       TryConnect(data_centre, servers_(data_centre));
+    }
   });
   loop_->RunAt(loop_->now() + engine::kProbeTimeout,
                [this, data_centre] { FinishProbe(data_centre); });
--- a/packages/edge/src/query_remainder.cc
+++ b/packages/edge/src/query_remainder.cc
@@ -63,8 +63,9 @@
 }
 
 void QueryRun::RequestRemainders() {
-  if (remainders_.empty() || context_->loop->now() < deadlines_.answer_at)
+  if (remainders_.empty() || context_->loop->now() < deadlines_.answer_at) {
     return;
+  }
   const auto progress = Progress();
   if (progress.received >= progress.needed) return;
   for (const auto& it : std::exchange(remainders_, {})) {
--- a/packages/edge/src/query_retry.cc
+++ b/packages/edge/src/query_retry.cc
@@ -99,8 +99,9 @@
     // A hedge that is due but found no server or no budget is tried again after
     // a quarter of the hedge delay.
     Millis at = part.open[0].started_at + route_latency_->hedge_after;
-    if (at <= now)
+    if (at <= now) {
       at = now + Max(route_latency_->hedge_after * 0.25, Millis(2));
+    }
     next_time = Min(next_time, at);
   }
   return next_time;
--- a/packages/edge/src/query_run.cc
+++ b/packages/edge/src/query_run.cc
@@ -76,8 +76,9 @@
   deadlines_.deadline =
       started_at_ + Min(deadlines.deadline_in, route_->timeout);
   Millis answer_in = deadlines.answer_in;
-  if (mechanisms().answer_lag_compensation)
+  if (mechanisms().answer_lag_compensation) {
     answer_in = answer_in - context_->answer_lag.typical();
+  }
   if (deadlines.lags) {
     answer_in = engine::BestAnswerTime(
         *route_latency_, answer_in + engine::TypicalLag(*deadlines.lags),
@@ -185,8 +186,9 @@
       mechanisms().hedge_reserve && extra == ExtraAttempt::kOptional;
   const double reserve = reserves ? engine::kUrgentReserve : 0;
   const bool is_extra = extra != ExtraAttempt::kNone;
-  if (is_extra && !backends.HasExtraAttempt(budget_service_, reserve))
+  if (is_extra && !backends.HasExtraAttempt(budget_service_, reserve)) {
     return false;
+  }
   AttemptSpec spec = AttemptSpecFor(i);
   spec.skip_suspected = !part.open.empty();
   const auto started = backends.TryStart(std::move(spec));
--- a/packages/edge/src/request_log.cc
+++ b/packages/edge/src/request_log.cc
@@ -37,8 +37,9 @@
               succeeded      ? "good"
               : may_have_run ? "failed"
                              : "refused",
-              now))
+              now)) {
     return;
+  }
   Log(Part::kRoute)
       .log(level,
            "request {} route {} config {}: {} {} after {:.1f} ms, {} of {} "
--- a/packages/edge/src/traffic_forwarding.cc
+++ b/packages/edge/src/traffic_forwarding.cc
@@ -162,8 +162,9 @@
                      result, reply);
       });
   const auto held = forwarded_requests_.find(session.get());
-  if (held != forwarded_requests_.end())
+  if (held != forwarded_requests_.end()) {
     held->second.cancel = std::move(cancel);
+  }
   metrics_.CountForwarded();
   return true;
 }
--- a/packages/edge/src/traffic_server.cc
+++ b/packages/edge/src/traffic_server.cc
@@ -147,8 +147,9 @@
 }
 
 Result<Done> TrafficServer::Listen() {
-  if (settings_.backends.mechanisms.early_request_queue)
+  if (settings_.backends.mechanisms.early_request_queue) {
     early_requests_.StartHolding();
+  }
   MeasureLoopLag();
   AddGauges();
   auto listened = callers_.Listen(settings_.callers);
@@ -237,8 +238,9 @@
       engine::PrimarySenders(peers_.senders()).size()};
   const engine::SenderCounts equal_counts{own_position_.instances, 0, 0};
   engine::SenderRank rank = peers_.Rank();
-  if (rank.role == engine::SenderRole::kNotSender)
+  if (rank.role == engine::SenderRole::kNotSender) {
     rank.rank = own_position_.rank;
+  }
   std::set<ServiceId> shards;
   for (const auto& route : config_->routes) {
     if (!route.gather) continue;
--- a/packages/engine/src/reachability.cc
+++ b/packages/engine/src/reachability.cc
@@ -30,10 +30,12 @@
 
 ProbeResult EndProbe(Reachability* reachability, Millis now) {
   reachability->probing = false;
-  if (reachability->last_contact >= reachability->probe_started_at)
+  if (reachability->last_contact >= reachability->probe_started_at) {
     return ProbeResult::kReachable;
-  if (now - reachability->probe_started_at > kProbeTimeout + kMaxProbeOverrun)
+  }
+  if (now - reachability->probe_started_at > kProbeTimeout + kMaxProbeOverrun) {
     return ProbeResult::kInconclusive;
+  }
   if (!reachability->unreachable) reachability->unreachable_since = now;
   reachability->unreachable = true;
   return ProbeResult::kUnreachable;
--- a/packages/engine/src/server_view.cc
+++ b/packages/engine/src/server_view.cc
@@ -121,8 +121,9 @@
   }
   // Lowered once per round of attempts: all attempts in flight were sent under
   // the same limit and show the same.
-  if (latency_factor < kHighLatency || now < server->next_limit_decrease)
+  if (latency_factor < kHighLatency || now < server->next_limit_decrease) {
     return;
+  }
   server->concurrency_limit =
       std::max(1.0, server->concurrency_limit * kLimitDecreaseFactor);
   server->next_limit_decrease = now + kLimitDecreaseInterval;
--- a/packages/engine/src/update_sources.cc
+++ b/packages/engine/src/update_sources.cc
@@ -142,8 +142,9 @@
   if (is_outdated || (sources.watch_store && state.store_failing)) {
     AddPeers(table, FallbackPeersByRank(table, ranking, now), &sources.peers);
   }
-  if (age > StoreFallbackDelayByRank(table, ranking, has_updates))
+  if (age > StoreFallbackDelayByRank(table, ranking, has_updates)) {
     sources.watch_store = true;
+  }
   return sources;
 }
 
--- a/packages/limits/src/group.cc
+++ b/packages/limits/src/group.cc
@@ -174,8 +174,9 @@
   internal::QueueTask(ctx, &task, kind, prioritized);
   internal::StartQueuedAttempts(ctx);
   const auto after = state.tasks.find(id);
-  if (prioritized || after == state.tasks.end() || !after->second.is_queued)
+  if (prioritized || after == state.tasks.end() || !after->second.is_queued) {
     return;
+  }
   // A hedge that waits in the queue would come too late to help, and would take
   // a slot from tasks that have had no attempt yet.
   internal::DequeueTask(ctx, &after->second);
@@ -273,8 +274,9 @@
   const EventContext ctx{state, now, random, actions};
   ServerState* server = FindServer(state, id);
   if (server == nullptr) return;
-  if (!UpdateDrainState(server, incarnation, draining, state->policy, now))
+  if (!UpdateDrainState(server, incarnation, draining, state->policy, now)) {
     return;
+  }
   Decision decision;
   decision.kind = draining ? DecisionKind::kDrain : DecisionKind::kRestore;
   decision.server = static_cast<uint32_t>(server - state->servers.data());
--- a/packages/limits/src/group_attempts.cc
+++ b/packages/limits/src/group_attempts.cc
@@ -80,8 +80,9 @@
   // retries do not draw on the budget, which would otherwise run out whenever
   // versions change.
   if (code == Code::kVersionNotHeld) return true;
-  if (TakeExtraAttempt(&state.budget, state.policy.budget, ctx.now))
+  if (TakeExtraAttempt(&state.budget, state.policy.budget, ctx.now)) {
     return true;
+  }
   ++state.counters.retries_denied;
   Decision decision = MakeDecision(ctx, DecisionKind::kRetryDenied, task);
   decision.code = code;
--- a/packages/limits/src/group_queue.cc
+++ b/packages/limits/src/group_queue.cc
@@ -51,8 +51,9 @@
   const bool applies =
       lane == Lane::kBulk && policy.slots_enabled && policy.lanes_enabled;
   if (!applies) return BulkReservation::kNone;
-  if (policy.bulk_reservation != BulkReservation::kAdaptive)
+  if (policy.bulk_reservation != BulkReservation::kAdaptive) {
     return policy.bulk_reservation;
+  }
   return state.bulk_is_long ? BulkReservation::kPerServer
                             : BulkReservation::kPerShard;
 }
--- a/packages/membership/src/config_gossip.cc
+++ b/packages/membership/src/config_gossip.cc
@@ -164,8 +164,9 @@
   const bool changed = !applied.changed.empty();
   if (applied.alarms.empty()) context->state->config_confirmed = context->now;
   ReportApplied(context, std::move(applied));
-  if (changed && !was_unconfigured)
+  if (changed && !was_unconfigured) {
     Push(context, watched.delta, PushScope::kAll, {});
+  }
 }
 
 void HandleDelta(StepContext* context, const InstanceId& from,
@@ -177,8 +178,9 @@
   ReportApplied(context, std::move(applied));
   // An instance does not push its first configuration, since its peers already
   // have it.
-  if (changed && !was_unconfigured)
+  if (changed && !was_unconfigured) {
     Push(context, delta, PushScope::kOwnDataCentre, from);
+  }
   if (!gap) return;
   auto digest = MakeDigest(context, false);
   digest.reply_wanted = true;
--- a/packages/membership/src/gossip.cc
+++ b/packages/membership/src/gossip.cc
@@ -255,8 +255,9 @@
   if (digest.sender.id != from || from == table.self) return;
   MergeReport(context, digest.sender);
   const bool own = digest.sender.data_centre == table.data_centre;
-  if (!own)
+  if (!own) {
     table.data_centres_last_heard[digest.sender.data_centre] = context->now;
+  }
   MergeAges(context, digest);
   MergeConfigAge(context, digest);
   auto reply = EmptyDigest(context);
@@ -264,16 +265,18 @@
   const auto to = PeerOf(digest.sender);
   ReplyWithConfig(context, to, digest);
   ReplyWithEntries(context, to, digest);
-  if (digest.reply_wanted)
+  if (digest.reply_wanted) {
     ReplyWithDigest(context, to, digest, std::move(reply));
+  }
 }
 
 void HandleMembershipDelta(StepContext* context, const InstanceId& from,
                            const MembershipDelta& delta) {
   MembershipDelta changed;
   for (const auto& it : delta.members) {
-    if (MergeReport(context, it) == MergeResult::kChanged)
+    if (MergeReport(context, it) == MergeResult::kChanged) {
       changed.members.push_back(it);
+    }
   }
   for (const auto& it : delta.servers) {
     if (!MergeDrainReport(&context->state->servers, it)) continue;
--- a/packages/membership/src/member_table.cc
+++ b/packages/membership/src/member_table.cc
@@ -143,8 +143,9 @@
 
 void MarkFailed(MemberTable* table, const InstanceId& id, Millis now) {
   const auto it = table->members.find(id);
-  if (it != table->members.end() && id != table->self)
+  if (it != table->members.end() && id != table->self) {
     it->second.last_failure = now;
+  }
 }
 
 SweepResult Sweep(MemberTable* table, const MemberLimits& limits, Millis now) {
--- a/packages/operators/src/write.cc
+++ b/packages/operators/src/write.cc
@@ -192,8 +192,9 @@
   for (int i = 1; i < kMaxAttempts && reply.status == kStatusConflict; ++i) {
     const auto found = ReadPlatformState(write->ports.calls, write->path);
     if (!IsOk(found)) return NotAcceptedReply(*write, ErrorOf(found).message);
-    if (auto rejection = ValidateWrite(write, ValueOf(found)))
+    if (auto rejection = ValidateWrite(write, ValueOf(found))) {
       return *rejection;
+    }
     reply = ReplaceObject(*write, ValueOf(found));
   }
   return reply;
--- a/packages/records/src/bucket.cc
+++ b/packages/records/src/bucket.cc
@@ -128,8 +128,9 @@
 Result<KeyLocation> LocateKey(const Rules& rules, const std::string& service,
                               const std::string& key, Millis wall_now) {
   if (key.empty()) return MakeMalformedKeyError("must not be empty");
-  if (key.size() > rules.max_key_bytes)
+  if (key.size() > rules.max_key_bytes) {
     return MakeMalformedKeyError("is too long");
+  }
   if (!IsPrintable(key)) return MakeMalformedKeyError("has control characters");
   const Layout& layout = rules.layout;
   const uint64_t hash = Hash(key, Hash(service));
--- a/packages/records/src/committer.cc
+++ b/packages/records/src/committer.cc
@@ -148,8 +148,9 @@
   it->version = version;
   it->failures = 0;
   // A lost write can no longer take effect once the version has changed.
-  if (it->lost_write && it->lost_write->expected != version)
+  if (it->lost_write && it->lost_write->expected != version) {
     it->lost_write.reset();
+  }
 }
 
 void On(Committer* it, const Submit& event, Actions* actions) {
--- a/packages/routing/src/customer_limits.cc
+++ b/packages/routing/src/customer_limits.cc
@@ -32,8 +32,10 @@
 // time is computed with the rules of the current customer; if another one's
 // rules differ, it gains at most one burst.
 void Sweep(CustomerLimits* limits, const CustomerRules& rules, Millis now) {
-  if (limits->last_sweep.count > 0 && now - limits->last_sweep < kSweepInterval)
+  if (limits->last_sweep.count > 0 &&
+      now - limits->last_sweep < kSweepInterval) {
     return;
+  }
   limits->last_sweep = now;
   const double rate = std::max(rules.requests_per_second, 0.001);
   const Millis idle_time{BurstOf(rules) / rate * 1000};
@@ -46,8 +48,9 @@
                        const CustomerRules& rules, Millis now) {
   const auto it = limits->customers.find(*entry);
   if (it != limits->customers.end()) return &it->second;
-  if (limits->customers.size() >= limits->max_customers)
+  if (limits->customers.size() >= limits->max_customers) {
     Sweep(limits, rules, now);
+  }
   if (limits->customers.size() >= limits->max_customers) {
     *entry = CustomerId(kOverflowName);
   }
@@ -83,8 +86,9 @@
 
 void Release(CustomerLimits* limits, const CustomerId& entry) {
   const auto it = limits->customers.find(entry);
-  if (it != limits->customers.end() && it->second.running > 0)
+  if (it != limits->customers.end() && it->second.running > 0) {
     --it->second.running;
+  }
 }
 
 }  // namespace hibiscuspick::routing
--- a/packages/routing/src/query_answer.cc
+++ b/packages/routing/src/query_answer.cc
@@ -107,8 +107,9 @@
   QueryState* state = context->state;
   Answer answer;
   DescribePlan(*state, context->now, &answer);
-  if (state->shards_answered == 0)
+  if (state->shards_answered == 0) {
     answer.code = MostFrequentFailure(answer.missing);
+  }
   answer.hits = MergeHits(std::move(state->hits), state->request.limit);
   Finalize(context, std::move(answer));
 }
