--- a/packages/daemon/src/control_thread.cc
+++ b/packages/daemon/src/control_thread.cc
@@ -175,15 +175,15 @@
   view_.Set(after);
   LogPlacement(*before, *after);
   ports_.on_view(*after);
-  for (const auto& [id, news] : members_->servers) {
+  for (const auto& [id, report] : members_->servers) {
     const auto it = reported_drains_.find(id);
-    if (it != reported_drains_.end() && it->second == news) continue;
-    reported_drains_[id] = news;
+    if (it != reported_drains_.end() && it->second == report) continue;
+    reported_drains_[id] = report;
     Log(Part::kMembers)
         .info("Backend server {} {} (incarnation {}).", id.text,
-              news.draining ? "drains" : "accepts work",
-              news.incarnation.value);
-    ports_.on_drain_report(news);
+              report.draining ? "drains" : "accepts work",
+              report.incarnation.value);
+    ports_.on_drain_report(report);
   }
 }
 
--- a/packages/daemon/src/daemon_ports.cc
+++ b/packages/daemon/src/daemon_ports.cc
@@ -15,8 +15,9 @@
     mesh_.Send(peer, inner::ToMessage(std::move(message)));
   };
   ports.on_view = [this](const TrafficView& view) { ApplyView(view); };
-  ports.on_drain_report = [this](const membership::DrainReport& news) {
-    executor_.ApplyDrainReport(news.server, news.incarnation, news.draining);
+  ports.on_drain_report = [this](const membership::DrainReport& report) {
+    executor_.ApplyDrainReport(report.server, report.incarnation,
+                               report.draining);
   };
   ports.adopt_incarnation = [this](Incarnation it) {
     mesh_.SetIncarnation(it);
@@ -125,21 +126,21 @@
       return;
     }
     const auto view = control_.View();
-    membership::DrainReport news;
+    membership::DrainReport report;
     const auto it = view->members->servers.find(server);
-    if (it != view->members->servers.end()) news = it->second;
-    news.server = server;
-    news.draining = true;
-    control_.PostAndWait(membership::LocalDrain{news});
+    if (it != view->members->servers.end()) report = it->second;
+    report.server = server;
+    report.draining = true;
+    control_.PostAndWait(membership::LocalDrain{report});
   };
   return ports;
 }
 
 void Daemon::Impl::HandleHeaderReport(const BackendServerId& server,
                                       Incarnation incarnation, bool draining) {
-  const auto news = membership::DrainReportOfReply(
+  const auto report = membership::DrainReportOfReply(
       control_.View()->members->servers, server, incarnation, draining);
-  if (news) control_.Post(membership::LocalDrain{*news});
+  if (report) control_.Post(membership::LocalDrain{*report});
 }
 
 void Daemon::Impl::HandleMessage(const InstanceId& from,
@@ -160,8 +161,9 @@
   }
   if (auto* digest = std::get_if<membership::Digest>(&message)) {
     control_.Post(membership::MessageFrom{from, std::move(*digest)});
-  } else if (auto* news = std::get_if<membership::MembershipDelta>(&message)) {
-    control_.Post(membership::MessageFrom{from, std::move(*news)});
+  } else if (auto* members_delta =
+                 std::get_if<membership::MembershipDelta>(&message)) {
+    control_.Post(membership::MessageFrom{from, std::move(*members_delta)});
   } else if (auto* delta = std::get_if<settings::ConfigDelta>(&message)) {
     control_.Post(membership::MessageFrom{from, std::move(*delta)});
   }
@@ -175,8 +177,8 @@
         .warn("The platform {}.", reachable ? "answers" : "does not answer");
   }
   if (!reachable) return;
-  const platform::WatchResult& news = ValueOf(answer);
-  control_.Post(membership::WatchedConfig{news.delta, news.known});
+  const platform::WatchResult& result = ValueOf(answer);
+  control_.Post(membership::WatchedConfig{result.delta, result.known});
 }
 
 void Daemon::Impl::ApplyView(const TrafficView& view) {
--- a/packages/edge/tests/cold_servers_test.cc
+++ b/packages/edge/tests/cold_servers_test.cc
@@ -82,7 +82,7 @@
 BOOST_AUTO_TEST_CASE(WarmupHeaderLimitsTheServer) {
   ColdServerFixture fixture(Replies("Q-Warmup: 60000\r\n"));
   fixture.Publish();
-  fixture.Ask("GET /p/x");
+  fixture.SendRequest("GET /p/x");
   CheckLimit(&fixture, 7);
 }
 
@@ -109,7 +109,7 @@
       "s", [](auto&) { return ScriptedReply{.text = "", .resets = true}; });
   fixture.entries()[1].data_centre = DataCentreId("home");
   fixture.Publish();
-  for (int n = 0; n < 4; ++n) fixture.Ask("GET /p/x");
+  for (int n = 0; n < 4; ++n) fixture.SendRequest("GET /p/x");
   BOOST_TEST(fixture.servers()[0]->requests().empty());
   BOOST_TEST(!fixture.servers()[1]->requests().empty());
 }
--- a/packages/edge/tests/early_requests_test.cc
+++ b/packages/edge/tests/early_requests_test.cc
@@ -21,8 +21,8 @@
   auto& route = fixture.AddRoute("/p/");
   route.split = {{ServiceId("s"), 1}};
   auto& server = fixture.AddServer("s", Replies("served"));
-  auto answer_future =
-      std::async(std::launch::async, [&] { return fixture.Ask("GET /p/x"); });
+  auto answer_future = std::async(
+      std::launch::async, [&] { return fixture.SendRequest("GET /p/x"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(60));
   fixture.Publish();
   const auto answer = answer_future.get();
@@ -36,9 +36,9 @@
 // their callers give up. After the holding time they are refused immediately.
 BOOST_AUTO_TEST_CASE(LaterRequestsAreRefusedImmediately) {
   TrafficFixture fixture;
-  BOOST_TEST(fixture.Ask("GET /p/x").starts_with("HTTP/1.1 503 "));
+  BOOST_TEST(fixture.SendRequest("GET /p/x").starts_with("HTTP/1.1 503 "));
   const Millis began = SteadyNow();
-  BOOST_TEST(fixture.Ask("GET /p/x").starts_with("HTTP/1.1 503 "));
+  BOOST_TEST(fixture.SendRequest("GET /p/x").starts_with("HTTP/1.1 503 "));
   BOOST_TEST((SteadyNow() - began < Millis(200)));
 }
 
@@ -55,7 +55,7 @@
   client.Close();
   std::this_thread::sleep_for(std::chrono::milliseconds(40));
   fixture.Publish();
-  BOOST_TEST(fixture.Ask("GET /p/y").starts_with("HTTP/1.1 200 "));
+  BOOST_TEST(fixture.SendRequest("GET /p/y").starts_with("HTTP/1.1 200 "));
   BOOST_TEST(server.requests().size() == 1);
 }
 
--- a/packages/edge/tests/evacuation_test.cc
+++ b/packages/edge/tests/evacuation_test.cc
@@ -48,19 +48,19 @@
 // after the evacuation has ended.
 BOOST_AUTO_TEST_CASE(EvacuatedServersGetNoRequests) {
   EvacuationFixture pair(Replies(), Replies());
-  pair.Ask("GET /p/x");
+  pair.SendRequest("GET /p/x");
   BOOST_TEST(pair.RequestsAt(0) == 1);
   pair.Evacuate({kLocal});
   for (int n = 0; n < 10; ++n) {
-    BOOST_TEST(pair.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(pair.SendRequest("GET /p/x").starts_with("HTTP/1.1 200 "));
   }
   BOOST_TEST(pair.RequestsAt(0) == 1);
   BOOST_TEST(pair.RequestsAt(1) == 10);
   pair.Evacuate({kRemote});
-  BOOST_TEST(pair.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
+  BOOST_TEST(pair.SendRequest("GET /p/x").starts_with("HTTP/1.1 200 "));
   BOOST_TEST(pair.RequestsAt(0) == 2);
   pair.Evacuate({});
-  BOOST_TEST(pair.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
+  BOOST_TEST(pair.SendRequest("GET /p/x").starts_with("HTTP/1.1 200 "));
 }
 
 // Failure: a retry is sent to an evacuated server.
@@ -69,7 +69,7 @@
       [](auto&) { return ScriptedReply{.text = "", .resets = true}; },
       Replies());
   pair.Evacuate({kRemote});
-  for (int n = 0; n < 4; ++n) pair.Ask("GET /p/x");
+  for (int n = 0; n < 4; ++n) pair.SendRequest("GET /p/x");
   BOOST_TEST(pair.RequestsAt(1) == 0);
 }
 
@@ -90,7 +90,7 @@
   EvacuationFixture pair(Replies(), Replies());
   pair.Evacuate({kLocal, kRemote});
   const Millis began = SteadyNow();
-  const auto answer = pair.Ask("GET /p/x");
+  const auto answer = pair.SendRequest("GET /p/x");
   BOOST_TEST((SteadyNow() - began).count < 300);
   BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
   BOOST_TEST(std::strtod(HeaderValue(answer, "Retry-After").c_str(), nullptr) >=
@@ -124,7 +124,7 @@
   const uint16_t port = FreePort();
   pair.entries()[0].address.port = port;
   pair.Publish(2);
-  pair.Ask("GET /p/x");
+  pair.SendRequest("GET /p/x");
   pair.Evacuate({kLocal});
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   const int listener = ListenAt(port);
--- a/packages/edge/tests/gather_traffic_test.cc
+++ b/packages/edge/tests/gather_traffic_test.cc
@@ -57,7 +57,7 @@
   AddGather(&fixture, 5, 0.8, [](size_t shard, int, auto& request) {
     return PartReply(shard, request);
   });
-  const auto answer = fixture.Ask("GET /g/x");
+  const auto answer = fixture.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(StampsOf(answer).size() == 5);
   BOOST_TEST(HeaderValue(answer, "Q-Missing") == "0");
@@ -74,7 +74,7 @@
     return PartReply(shard, request);
   });
   const auto began = SteadyNow();
-  const auto answer = fixture.Ask("GET /g/x");
+  const auto answer = fixture.SendRequest("GET /g/x");
   BOOST_TEST((SteadyNow() - began).count < 1500);
   BOOST_TEST(StampsOf(answer).size() == 4);
   BOOST_TEST(HeaderValue(answer, "Q-Missing") == "1");
@@ -90,7 +90,7 @@
     return PartReply(shard, request);
   });
   for (int i = 0; i < 4; ++i) {
-    BOOST_TEST(StampsOf(fixture.Ask("GET /g/x")).size() == 5);
+    BOOST_TEST(StampsOf(fixture.SendRequest("GET /g/x")).size() == 5);
   }
 }
 
@@ -112,7 +112,7 @@
     }
     return PartReply(shard, request);
   });
-  const auto answer = fixture.Ask("GET /g/x");
+  const auto answer = fixture.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(HeaderValue(answer, "Q-Missing") == "2");
   BOOST_TEST(answer.find("bad-") == std::string::npos);
@@ -128,7 +128,7 @@
     return PartReply(shard, request);
   });
   const auto began = SteadyNow();
-  const auto answer = fixture.Ask("GET /g/x");
+  const auto answer = fixture.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 502 "));
   BOOST_TEST((SteadyNow() - began).count < 1500);
 }
@@ -152,7 +152,7 @@
     fixture.server().SetConfig(next);
   });
   BOOST_TEST(StampsOf(client.Receive()).size() == 3);
-  BOOST_TEST(fixture.Ask("GET /g/x").starts_with("HTTP/1.1 404 "));
+  BOOST_TEST(fixture.SendRequest("GET /g/x").starts_with("HTTP/1.1 404 "));
 }
 
 // Failure: a data centre is cut off without resets, so its servers accept
@@ -174,7 +174,7 @@
   for (auto& it : fixture.servers()) it->StopAccepting();
   constexpr int kSilenceDetectedMs = 900;
   std::this_thread::sleep_for(std::chrono::milliseconds(kSilenceDetectedMs));
-  const auto answer = fixture.Ask("GET /g/x");
+  const auto answer = fixture.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
   BOOST_TEST(HeaderValue(answer, "Retry-After") == "0.300");
 }
@@ -203,7 +203,7 @@
   BOOST_TEST_REQUIRE(Eventually([&] {
     return servers[2]->requests().size() + servers[3]->requests().size() == 4;
   }));
-  BOOST_TEST(fixture.Ask("GET /p/x").starts_with("HTTP/1.1 200 "));
+  BOOST_TEST(fixture.SendRequest("GET /p/x").starts_with("HTTP/1.1 200 "));
   for (auto& it : queries) {
     BOOST_TEST(it->Receive().starts_with("HTTP/1.1 200 "));
   }
--- a/packages/edge/tests/invalid_requests_test.cc
+++ b/packages/edge/tests/invalid_requests_test.cc
@@ -99,7 +99,7 @@
     return ScriptedReply{.text = ValidReply(request, "s", "")};
   });
   fixture.Publish();
-  const auto answer = fixture.Ask(
+  const auto answer = fixture.SendRequest(
       "POST /p/x",
       "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
--- a/packages/edge/tests/peers_traffic_test.cc
+++ b/packages/edge/tests/peers_traffic_test.cc
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(RemotePartsAreMergedByRelay) {
   TwoDataCentres data_centres;
   data_centres.SetPeers({}, {data_centres.remote.peer()});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(StampCount(answer) == kShards);
   BOOST_TEST(HeaderValue(answer, "Q-Missing") == "0");
@@ -95,7 +95,7 @@
   engine::Peer unreachable = data_centres.remote.peer();
   unreachable.query_address.port = FreePort();
   data_centres.SetPeers({}, {unreachable});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards);
   BOOST_TEST(data_centres.RequestCount() == kShards);
 }
@@ -106,7 +106,7 @@
   TwoDataCentres data_centres;
   data_centres.remote.Publish(2);
   data_centres.SetPeers({}, {data_centres.remote.peer()});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards);
   BOOST_TEST(data_centres.RequestCount() == kShards);
 }
@@ -116,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(RelaysReportMissingShards) {
   TwoDataCentres data_centres([](size_t i) { return i == 3; });
   data_centres.SetPeers({}, {data_centres.remote.peer()});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards - 1);
   BOOST_TEST(HeaderValue(answer, "Q-Missing") == "1");
 }
@@ -146,7 +146,7 @@
   data_centres.local.Publish();
   data_centres.local.CopyConfigTo(&data_centres.remote);
   data_centres.SetPeers({}, {data_centres.remote.peer()});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(StampCount(answer) >= kShards - 1);
   BOOST_TEST(answer.ends_with(Record(7) + Record(6) + Record(5)));
@@ -172,7 +172,7 @@
     data_centres.local.CopyConfigTo(&data_centres.remote);
     data_centres.SetPeers({}, {data_centres.remote.peer()});
     for (int i = 0; i < 4; ++i) {
-      const auto answer = data_centres.local.Ask("GET /g/x");
+      const auto answer = data_centres.local.SendRequest("GET /g/x");
       BOOST_TEST(StampCount(answer) == kShards);
     }
     BOOST_TEST(bad.requests().size() >= 1);
@@ -193,7 +193,7 @@
   data_centres.local.Publish();
   data_centres.local.CopyConfigTo(&data_centres.remote);
   data_centres.SetPeers({}, {data_centres.remote.peer()});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards - 1);
   size_t attempts = data_centres.servers[3]->requests().size();
   for (size_t k = kShards; k < data_centres.servers.size(); ++k) {
@@ -206,7 +206,7 @@
 BOOST_AUTO_TEST_CASE(WholeQueriesAreForwardedToSenders) {
   TwoDataCentres data_centres;
   data_centres.SetPeers({data_centres.remote.peer()}, {});
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(StampCount(answer) == kShards);
   BOOST_TEST(data_centres.RequestCount() == kShards);
   BOOST_TEST(answer.find("Hp-") == std::string::npos);
@@ -219,7 +219,8 @@
   unreachable.query_address.port = FreePort();
   data_centres.SetPeers({unreachable}, {});
   for (int i = 0; i < 3; ++i) {
-    BOOST_TEST(StampCount(data_centres.local.Ask("GET /g/x")) == kShards);
+    BOOST_TEST(StampCount(data_centres.local.SendRequest("GET /g/x")) ==
+               kShards);
   }
 }
 
@@ -232,9 +233,9 @@
   data_centres.remote.Publish();
   data_centres.SetPeers({data_centres.remote.peer()}, {});
   // The first request finds the servers unreachable.
-  for (int i = 0; i < 2; ++i) (void)data_centres.remote.Ask("GET /g/x");
+  for (int i = 0; i < 2; ++i) (void)data_centres.remote.SendRequest("GET /g/x");
   for (int i = 0; i < 2; ++i) {
-    const auto answer = data_centres.local.Ask("GET /g/x");
+    const auto answer = data_centres.local.SendRequest("GET /g/x");
     BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
     BOOST_TEST(StampCount(answer) == kShards);
   }
@@ -252,16 +253,17 @@
   }
   // The sender's attempts at remote servers have failed for long enough.
   for (int i = 0; i < 3; ++i) {
-    (void)data_centres.remote.Ask("GET /g/x");
+    (void)data_centres.remote.SendRequest("GET /g/x");
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
   }
-  BOOST_TEST(data_centres.remote.AskReadiness().starts_with("HTTP/1.1 503 "));
+  BOOST_TEST(data_centres.remote.GetReadiness().starts_with("HTTP/1.1 503 "));
   engine::Peer sender = data_centres.remote.peer();
   sender.data_centre = data_centres.local.peer().data_centre;
   data_centres.SetPeers({sender}, {});
-  BOOST_TEST(data_centres.local.AskReadiness().starts_with("HTTP/1.1 200 "));
-  BOOST_TEST(data_centres.local.Ask("GET /g/x").starts_with("HTTP/1.1 503 "));
-  BOOST_TEST(data_centres.local.AskReadiness().starts_with("HTTP/1.1 503 "));
+  BOOST_TEST(data_centres.local.GetReadiness().starts_with("HTTP/1.1 200 "));
+  BOOST_TEST(
+      data_centres.local.SendRequest("GET /g/x").starts_with("HTTP/1.1 503 "));
+  BOOST_TEST(data_centres.local.GetReadiness().starts_with("HTTP/1.1 503 "));
 }
 
 // Failure: a stalled sender accepts queries and never replies. One query is
@@ -278,7 +280,7 @@
   // Its answer is due after 400 ms, and the sender's backoff starts 300 ms
   // later.
   std::this_thread::sleep_for(std::chrono::milliseconds(900));
-  const auto answer = data_centres.local.Ask("GET /g/x");
+  const auto answer = data_centres.local.SendRequest("GET /g/x");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(StampCount(answer) == kShards);
   BOOST_TEST(stalled.requests().size() == 1);
--- a/packages/edge/tests/prober_test.cc
+++ b/packages/edge/tests/prober_test.cc
@@ -39,8 +39,8 @@
 // Sends requests until the readiness check returns `ready`.
 bool BecomesReady(const TrafficFixture& fixture, bool ready) {
   return Eventually([&] {
-    fixture.Ask("GET /g/x");
-    return fixture.AskReadiness().starts_with(ready ? "HTTP/1.1 200 "
+    fixture.SendRequest("GET /g/x");
+    return fixture.GetReadiness().starts_with(ready ? "HTTP/1.1 200 "
                                                     : "HTTP/1.1 503 ");
   });
 }
@@ -60,7 +60,7 @@
   // Bound: two readiness checks one second apart must see it within the
   // shortest deadline of two seconds.
   BOOST_TEST((SteadyNow() - began).count < 1000);
-  const auto refused = fixture.Ask("GET /g/x");
+  const auto refused = fixture.SendRequest("GET /g/x");
   BOOST_TEST(refused.starts_with("HTTP/1.1 503 "));
   BOOST_TEST(HeaderValue(refused, "Retry-After") == "2.000");
   const auto listener = ListenAt(port);
@@ -84,7 +84,7 @@
     const Millis reported_at = SteadyNow();
     fixture.OnLoop([&] { fixture.server().CheckCutOff(); });
     const auto is_ready = [&] {
-      return fixture.AskReadiness().starts_with("HTTP/1.1 200 ");
+      return fixture.GetReadiness().starts_with("HTTP/1.1 200 ");
     };
     if (cut) {
       BOOST_TEST(Eventually([&] { return !is_ready(); }));
@@ -107,8 +107,8 @@
   fixture.Publish();
   const Millis until = SteadyNow() + Millis(1500);
   while (SteadyNow() < until) {
-    BOOST_TEST(fixture.Ask("GET /g/x").starts_with("HTTP/1.1 200 "));
-    BOOST_TEST(fixture.AskReadiness().starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.SendRequest("GET /g/x").starts_with("HTTP/1.1 200 "));
+    BOOST_TEST(fixture.GetReadiness().starts_with("HTTP/1.1 200 "));
   }
 }
 
--- a/packages/edge/tests/restarted_servers_test.cc
+++ b/packages/edge/tests/restarted_servers_test.cc
@@ -49,11 +49,11 @@
   entry.incarnation = Incarnation(100);
   row.change(&entry);
   fixture.Publish(1);
-  fixture.Ask("GET /p/before");
+  fixture.SendRequest("GET /p/before");
   entry = later;
   entry.incarnation = Incarnation(200);
   fixture.Publish(2);
-  const auto answer = fixture.Ask("GET /p/after");
+  const auto answer = fixture.SendRequest("GET /p/after");
   BOOST_TEST(answer.starts_with("HTTP/1.1 200 "));
   BOOST_TEST(answer.ends_with("here"));
 }
@@ -85,7 +85,7 @@
   fixture.Publish(2);
   may_reply = true;
   BOOST_TEST(client.Receive().ends_with("earlier"));
-  BOOST_TEST(fixture.Ask("GET /p/two").ends_with("later"));
+  BOOST_TEST(fixture.SendRequest("GET /p/two").ends_with("later"));
   BOOST_TEST(later.requests().size() == 1);
   BOOST_TEST(earlier.requests().size() == 1);
 }
--- a/packages/edge/tests/traffic_fixture.h
+++ b/packages/edge/tests/traffic_fixture.h
@@ -138,13 +138,13 @@
            extra_headers + "\r\n";
   }
   // Sends a request on a new connection and returns the whole reply.
-  std::string Ask(const std::string& line,
-                  const std::string& extra_headers = "") const {
+  std::string SendRequest(const std::string& line,
+                          const std::string& extra_headers = "") const {
     RawClient client(port_);
     client.Send(RequestText(line, "Connection: close\r\n" + extra_headers));
     return client.Receive();
   }
-  std::string AskReadiness(const std::string& path = "/ready") const {
+  std::string GetReadiness(const std::string& path = "/ready") const {
     RawClient client(ready_port_);
     client.Send("GET " + path + " HTTP/1.1\r\nConnection: close\r\n\r\n");
     return client.Receive();
--- a/packages/edge/tests/traffic_test.cc
+++ b/packages/edge/tests/traffic_test.cc
@@ -38,8 +38,8 @@
 BOOST_AUTO_TEST_CASE(RequestsBeforeConfigurationGet503) {
   TrafficFixture fixture;
   BOOST_TEST_REQUIRE(fixture.listened());
-  BOOST_TEST(IsStatus(fixture.AskReadiness(), 503));
-  const auto answer = fixture.Ask("GET /p/x");
+  BOOST_TEST(IsStatus(fixture.GetReadiness(), 503));
+  const auto answer = fixture.SendRequest("GET /p/x");
   BOOST_TEST(IsStatus(answer, 503));
   BOOST_TEST(HeaderValue(answer, "Retry-After") != "");
 }
@@ -49,9 +49,9 @@
   AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   auto& server = fixture.AddServer("s", Replies("stamp-1", "the body"));
   fixture.Publish();
-  BOOST_TEST(IsStatus(fixture.AskReadiness(), 200));
-  const auto answer = fixture.Ask("POST /p/x?y=1",
-                                  "Content-Length: 2\r\nA-Header: v\r\n\r\nhi");
+  BOOST_TEST(IsStatus(fixture.GetReadiness(), 200));
+  const auto answer = fixture.SendRequest(
+      "POST /p/x?y=1", "Content-Length: 2\r\nA-Header: v\r\n\r\nhi");
   BOOST_TEST(IsStatus(answer, 200));
   BOOST_TEST(BodyOf(answer) == "the body");
   BOOST_TEST(HeaderValue(answer, "Q-Stamp") == "stamp-1");
@@ -62,7 +62,7 @@
   BOOST_TEST(HeaderValue(sent, "Q-Id") == "one");
   BOOST_TEST(HeaderValue(sent, "Q-Expect") == "server-1");
   BOOST_TEST(std::stoi(HeaderValue(sent, "Q-Deadline")) <= 2000);
-  BOOST_TEST(IsStatus(fixture.Ask("GET /nowhere/"), 404));
+  BOOST_TEST(IsStatus(fixture.SendRequest("GET /nowhere/"), 404));
 }
 
 // Failure: a caller sets the headers for the expected server or the stamp,
@@ -72,7 +72,7 @@
   AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   auto& server = fixture.AddServer("s", Replies("stamp-1", ""));
   fixture.Publish();
-  fixture.Ask("GET /p/x", "Q-Expect: other\r\nQ-Stamp: forged\r\n");
+  fixture.SendRequest("GET /p/x", "Q-Expect: other\r\nQ-Stamp: forged\r\n");
   const auto sent = server.requests().at(0);
   BOOST_TEST(sent.find("other") == std::string::npos);
   BOOST_TEST(sent.find("forged") == std::string::npos);
@@ -169,7 +169,7 @@
   AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   std::atomic<size_t> request_count{0};
   AddTwoServers(&fixture, row.first, &request_count);
-  const auto answer = fixture.Ask("POST /p/x", "Content-Length: 0\r\n");
+  const auto answer = fixture.SendRequest("POST /p/x", "Content-Length: 0\r\n");
   BOOST_TEST(IsStatus(answer, row.status));
   BOOST_TEST(request_count == row.request_count);
 }
@@ -180,7 +180,7 @@
   AddPlain(&fixture, engine::Idempotency::kIdempotent);
   std::atomic<size_t> request_count{0};
   AddTwoServers(&fixture, row.first, &request_count);
-  BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 200));
+  BOOST_TEST(IsStatus(fixture.SendRequest("GET /p/x"), 200));
   BOOST_TEST(request_count == 2);
 }
 
@@ -191,7 +191,7 @@
   AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", [](auto&) { return ScriptedReply{.text = kRefusal}; });
   fixture.Publish();
-  const auto answer = fixture.Ask("GET /p/x");
+  const auto answer = fixture.SendRequest("GET /p/x");
   BOOST_TEST(IsStatus(answer, 503));
   BOOST_TEST(HeaderValue(answer, "Retry-After") != "");
 }
@@ -210,7 +210,7 @@
   });
   fixture.Publish();
   for (int i = 0; i < 3; ++i) {
-    const auto answer = fixture.Ask("GET /p/x");
+    const auto answer = fixture.SendRequest("GET /p/x");
     BOOST_TEST(BodyOf(answer) == "new");
     BOOST_TEST(HeaderValue(answer, "Q-Stamp") == "new");
   }
@@ -231,9 +231,9 @@
         .resets = resets_connection.load()};
   });
   fixture.Publish();
-  BOOST_TEST(BodyOf(fixture.Ask("GET /p/x")) == "until the end");
+  BOOST_TEST(BodyOf(fixture.SendRequest("GET /p/x")) == "until the end");
   resets_connection = true;
-  BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 502));
+  BOOST_TEST(IsStatus(fixture.SendRequest("GET /p/x"), 502));
 }
 
 // Failure: the caller disconnects, and servers that keep working for it delay
@@ -274,9 +274,9 @@
   AddPlain(&fixture, engine::Idempotency::kNotIdempotent);
   fixture.AddServer("s", Replies("stamp-1", ""));
   fixture.Publish();
-  fixture.Ask("GET /p/x");
-  fixture.Ask("GET /nowhere/");
-  const auto text = fixture.AskReadiness("/metrics");
+  fixture.SendRequest("GET /p/x");
+  fixture.SendRequest("GET /nowhere/");
+  const auto text = fixture.GetReadiness("/metrics");
   for (const char* line :
        {"hibiscuspick_edge_queries_total{fault=\"none\"} 1\n",
         "hibiscuspick_edge_queries_total{fault=\"time_up\"} 0\n",
@@ -297,7 +297,7 @@
     old->version = 6;
     fixture.server().SetConfig(old);
   });
-  BOOST_TEST(IsStatus(fixture.Ask("GET /p/x"), 200));
+  BOOST_TEST(IsStatus(fixture.SendRequest("GET /p/x"), 200));
 }
 
 // Failure: a graceful shutdown breaks requests that run, or that the load
@@ -314,8 +314,8 @@
   early.Send(TrafficFixture::RequestText("GET /p/x"));
   std::atomic<bool> done{false};
   fixture.OnLoop([&] { fixture.server().Stop([&] { done = true; }); });
-  BOOST_TEST(IsStatus(fixture.AskReadiness(), 503));
-  const auto late = fixture.Ask("GET /p/x");
+  BOOST_TEST(IsStatus(fixture.GetReadiness(), 503));
+  const auto late = fixture.SendRequest("GET /p/x");
   BOOST_TEST(BodyOf(late) == "whole");
   const auto answer = early.Receive();
   BOOST_TEST(BodyOf(answer) == "whole");
--- a/packages/inner/src/wire.cc
+++ b/packages/inner/src/wire.cc
@@ -181,21 +181,21 @@
   return result;
 }
 
-wire::ServerNews Encode(const membership::DrainReport& news) {
+wire::ServerNews Encode(const membership::DrainReport& report) {
   wire::ServerNews result;
-  result.server = news.server.text;
-  result.incarnation = Signed(news.incarnation.value);
-  result.draining = news.draining;
-  result.round = Signed(news.round);
+  result.server = report.server.text;
+  result.incarnation = Signed(report.incarnation.value);
+  result.draining = report.draining;
+  result.round = Signed(report.round);
   return result;
 }
 
-membership::DrainReport Decode(const wire::ServerNews& news) {
+membership::DrainReport Decode(const wire::ServerNews& report) {
   membership::DrainReport result;
-  result.server = BackendServerId(news.server);
-  result.incarnation = Incarnation(Unsigned(news.incarnation));
-  result.draining = news.draining;
-  result.round = Unsigned(news.round);
+  result.server = BackendServerId(report.server);
+  result.incarnation = Incarnation(Unsigned(report.incarnation));
+  result.draining = report.draining;
+  result.round = Unsigned(report.round);
   return result;
 }
 
@@ -259,29 +259,29 @@
   return result;
 }
 
-wire::News Encode(const membership::MembershipDelta& news) {
+wire::News Encode(const membership::MembershipDelta& delta) {
   wire::News result;
-  for (const auto& it : news.members) {
+  for (const auto& it : delta.members) {
     result.members.push_back(Encode(it));
   }
-  for (const auto& it : news.servers) {
+  for (const auto& it : delta.servers) {
     result.servers.push_back(Encode(it));
   }
-  result.pass_on = news.pass_on;
+  result.pass_on = delta.pass_on;
   return result;
 }
 
-membership::MembershipDelta Decode(const wire::News& news) {
+membership::MembershipDelta Decode(const wire::News& delta) {
   membership::MembershipDelta result;
   // An invalid entry doesn't affect the others.
-  for (const auto& it : news.members) {
+  for (const auto& it : delta.members) {
     auto state = Decode(it);
     if (state) result.members.push_back(std::move(*state));
   }
-  for (const auto& it : news.servers) {
+  for (const auto& it : delta.servers) {
     result.servers.push_back(Decode(it));
   }
-  result.pass_on = news.pass_on;
+  result.pass_on = delta.pass_on;
   return result;
 }
 
--- a/packages/inner/tests/fuzz_test.cc
+++ b/packages/inner/tests/fuzz_test.cc
@@ -108,11 +108,11 @@
   return digest;
 }
 
-membership::MembershipDelta MakeNews() {
-  membership::MembershipDelta news;
-  news.members = {MakeMember()};
-  news.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
-  return news;
+membership::MembershipDelta MakeDelta() {
+  membership::MembershipDelta delta;
+  delta.members = {MakeMember()};
+  delta.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
+  return delta;
 }
 
 PartOutcomes MakeOutcomes() {
@@ -139,7 +139,7 @@
     {"outcomes", MakeOutcomes()},
     {"cancel", PartCancel{{InstanceId("a"), Incarnation(1), PartId(2)}}},
     {"digest", MakeDigest()},
-    {"news", MakeNews()},
+    {"news", MakeDelta()},
     {"configuration",
      settings::ConfigDelta{
          Revision(1), Revision(9), {{"routes/a", Revision(4), "{}"}}}},
--- a/packages/inner/tests/wire_test.cc
+++ b/packages/inner/tests/wire_test.cc
@@ -66,12 +66,12 @@
   return digest;
 }
 
-MembershipDelta MakeNews() {
-  MembershipDelta news;
-  news.members.push_back(MakeMember("oslo-1-i002"));
-  news.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
-  news.pass_on = true;
-  return news;
+MembershipDelta MakeDelta() {
+  MembershipDelta delta;
+  delta.members.push_back(MakeMember("oslo-1-i002"));
+  delta.servers.push_back({BackendServerId("b1"), Incarnation(3), 1, true});
+  delta.pass_on = true;
+  return delta;
 }
 
 template <class T>
@@ -93,7 +93,7 @@
 // The message sizes that a daemon's network traffic is estimated with.
 const SizeCase kSizes[] = {
     {"a digest at 66 members", MakeDigest(), 1500},
-    {"news of one member and one server", MakeNews(), 200},
+    {"news of one member and one server", MakeDelta(), 200},
     {"a watermark alone", ConfigDelta{Revision(1), Revision(2), {}}, 40},
 };
 
@@ -117,10 +117,10 @@
   BOOST_TEST(digest.heartbeats == sent.heartbeats);
   BOOST_TEST(digest.data_centres.at(5).age.count == 12.5);
   BOOST_TEST((digest.config_age == Millis(1500)));
-  const auto news = Across(MakeNews());
-  BOOST_TEST((news.members == MakeNews().members));
-  BOOST_TEST((news.servers == MakeNews().servers));
-  BOOST_TEST(news.pass_on);
+  const auto members_delta = Across(MakeDelta());
+  BOOST_TEST((members_delta.members == MakeDelta().members));
+  BOOST_TEST((members_delta.servers == MakeDelta().servers));
+  BOOST_TEST(members_delta.pass_on);
   const ConfigDelta delta{
       Revision(1), Revision(9), {{"routes/a", Revision(4), "{}"}}};
   const auto config = Across(delta);
@@ -173,10 +173,10 @@
   auto part = ToWire(Message(MakePart(1)));
   part.part.lane = 9;
   BOOST_TEST((std::get<PartRequest>(*FromWire(part)).lane == Lane::kBulk));
-  auto news = ToWire(Message(MakeNews()));
-  news.news.members.emplace_back(news.news.members.front());
-  news.news.members.front().phase = 9;
-  BOOST_TEST(std::get<MembershipDelta>(*FromWire(news)).members.size() == 1U);
+  auto delta = ToWire(Message(MakeDelta()));
+  delta.news.members.emplace_back(delta.news.members.front());
+  delta.news.members.front().phase = 9;
+  BOOST_TEST(std::get<MembershipDelta>(*FromWire(delta)).members.size() == 1U);
   auto digest = ToWire(Message(MakeDigest()));
   digest.digest.sender.inner_address = "nowhere";
   BOOST_TEST(!FromWire(digest).has_value());
--- a/packages/platform/src/watch.cc
+++ b/packages/platform/src/watch.cc
@@ -9,9 +9,9 @@
 
 // Returns a random time between 0.75 and 1.25 intervals.
 Millis RandomiseInterval(Millis interval, Random* random) {
-  constexpr double kLeast = 0.75;
+  constexpr double kMinFactor = 0.75;
   constexpr double kSpan = 0.5;
-  return interval * (kLeast + kSpan * random->Fraction());
+  return interval * (kMinFactor + kSpan * random->Fraction());
 }
 
 }  // namespace
--- a/packages/routing/tests/bounds_test.cc
+++ b/packages/routing/tests/bounds_test.cc
@@ -70,9 +70,9 @@
     const CustomerId name(std::to_string(i));
     Release(&limits, Admit(&limits, name, kRules, Millis(1)).entry);
   }
-  const Admission latecomer =
+  const Admission admission =
       Admit(&limits, CustomerId("new"), kRules, Millis(5000));
-  BOOST_TEST(latecomer.entry.text == "new");
+  BOOST_TEST(admission.entry.text == "new");
   BOOST_TEST(limits.customers.size() == 1);
 }
 
