--- a/packages/settings/include/hibiscuspick/settings/edge_settings.h
+++ b/packages/settings/include/hibiscuspick/settings/edge_settings.h
@@ -1,6 +1,6 @@
 // The settings file of an edge instance, which serves callers directly and
-// reads its list of backend servers from an object store: JSON with comments,
-// read at start and again when it changes.
+// reads its list of backend servers from an object store: JSON with comments.
+// Values take effect at the next start; on SIGHUP the file is only checked.
 #pragma once
 
 #include <map>
@@ -28,16 +28,16 @@
   // CPU share of the process, in cores.
   double cpu_cores = 1;
 
-  // The fleet's limit on hedges and retries of a service in any window: this
-  // share of the service's requests, and the slack.
+  // The fleet's limit on extra attempts (hedges and retries) of a service in
+  // any window: `extra_ratio` of the service's requests, plus `extra_slack`.
   double extra_ratio = 0.2;
   Millis extra_window{10000};
   double extra_slack = 0;
-  // The number of instances that divide this slack and the servers'
-  // connections among themselves, until the store has reported it.
+  // The number of instances that share this slack and the servers' connections;
+  // it applies until the store has reported the actual number.
   int instances = 8;
 
-  // What a cold server may get beyond its service's limit.
+  // A cold server's limit is its service's limit times overage, plus slack.
   double cold_overage = 1;
   double cold_slack = 0;
 
--- a/packages/settings/include/hibiscuspick/settings/mechanisms.h
+++ b/packages/settings/include/hibiscuspick/settings/mechanisms.h
@@ -11,21 +11,21 @@
 struct Mechanisms {
   // Hedges attempts that are expected to be late.
   bool hedging = true;
-  // Reserves a part of the retry budget for attempts that a query needs to
-  // reach its minimum coverage.
+  // Reserves a share of the budget of extra attempts (hedges and retries) for
+  // those that a query needs to reach its minimum coverage.
   bool hedge_reserve = true;
   // After a failure, retries only if the minimum coverage requires it.
   bool urgent_retries_only = true;
-  // Doesn't ask shards that are expected to be late if the minimum coverage is
-  // reached without them.
+  // Defers requests to shards that are expected to be late if the others
+  // suffice for the minimum coverage.
   bool deferred_shards = true;
   // Rejects a query as a whole if queues would make it late.
   bool whole_query_rejection = true;
-  // Queues queries that are expected to miss their deadline behind the others.
+  // Queues parts last if they are expected to miss, or have missed, the target.
   bool deprioritize_late = true;
-  // Raises the cost of failing servers while the retry budget is low.
+  // Raises failing servers' cost while the budget of extra attempts is low.
   bool failing_server_penalty = true;
-  // Decays a server's failures by attempts where it is used rarely.
+  // Decays the failure rate of a rarely used server more slowly.
   bool failure_decay_by_attempts = true;
   // Compares servers by the latency of their replies.
   bool relative_latency = true;
